--- a/crates/core/src/admit.rs
+++ b/crates/core/src/admit.rs
@@ -1,53 +1,55 @@
-//! Admit: a flow that a front has taken in is handed to the balancer.
+//! Admission: hands a request that a front end has read to the balancer.
 
-use super::{Entry, Sidecar, Step};
+use super::{RequestState, Sidecar, Step};
 use async_channel::Receiver;
 use cottonpoint_decide::*;
 use std::rc::Rc;
 
-/// What the balancer must know of a flow.
+/// The properties of a request that the balancer needs.
 #[derive(Clone, Copy, Debug)]
 pub struct NewFlow {
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant.
+    /// Tenant, if the request names one.
     pub tenant: Option<TenantId>,
-    /// By when its answer must be on the way.
+    /// Time by which the answer must be on its way to the client.
     pub due: Time,
 }
 
-/// A flow under way. Dropping it ends it: nothing is owed for it any more.
+/// Handle of an admitted request. Dropping it ends the request; no answer is owed after that.
 pub struct Flow {
     pub(super) sidecar: Rc<Sidecar>,
     pub(super) id: RequestId,
-    pub(super) steps: Receiver<Step>,
+    pub(super) decisions: Receiver<Step>,
 }
 
 impl Sidecar {
-    /// Hands a flow to the balancer.
+    /// Admits a request and hands it to the balancer.
     pub fn admit(self: &Rc<Self>, new: NewFlow) -> Flow {
-        let id = RequestId(self.next_flow.get());
-        self.next_flow.set(id.0 + 1);
-        let (sender, steps) = async_channel::unbounded();
+        let id = RequestId(self.next_request_id.get());
+        self.next_request_id.set(id.0 + 1);
+        let (sender, decisions) = async_channel::unbounded();
         let mut core = self.core.borrow_mut();
-        let tuning = core.newest();
-        let entry = Entry { tuning, steps: sender, attempts: Vec::new(), closed: false };
-        core.flows.insert(id, entry);
+        let settings_version = core.current_version();
+        let entry =
+            RequestState { settings_version, decisions: sender, attempts: Vec::new(), closed: false };
+        core.requests.insert(id, entry);
         drop(core);
         let call = Call { id, class: new.class, tenant: new.tenant, due: new.due, cost: None };
-        self.counts.admit();
+        self.counts.count_admitted();
         self.feed(Event::Arrived(call));
-        Flow { sidecar: self.clone(), id, steps }
+        Flow { sidecar: self.clone(), id, decisions }
     }
 }
 
 impl Drop for Flow {
     fn drop(&mut self) {
         self.depart();
-        // Attempts that nobody took are booked as they drop, while the core is free.
-        while let Ok(step) = self.steps.try_recv() {
-            drop(step);
+        // Attempts that were never taken from the queue report their outcome when dropped, which
+        // borrows the core; so drop them before the core is borrowed below.
+        while let Ok(decision) = self.decisions.try_recv() {
+            drop(decision);
         }
-        self.sidecar.core.borrow_mut().flows.remove(&self.id);
+        self.sidecar.core.borrow_mut().requests.remove(&self.id);
     }
 }
--- a/crates/core/src/book.rs
+++ b/crates/core/src/book.rs
@@ -1,4 +1,4 @@
-//! Book: what came of an attempt is told to the balancer, exactly once.
+//! Attempts: each one reports its outcome to the balancer exactly once.
 
 use super::{AttemptFacts, Denial, Halt, Sidecar, Target};
 use async_channel::Receiver;
@@ -6,54 +6,56 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One attempt of a flow to a target. It is booked once: by [`Attempt::book`], or as withdrawn when it is
-/// dropped without.
+/// One attempt of a request at an endpoint. Its outcome is reported once: by [`Attempt::book`], or
+/// as cancelled if it is dropped before.
 pub struct Attempt {
     sidecar: Rc<Sidecar>,
-    flow: RequestId,
-    /// Its place among those of its flow, from 0.
+    request: RequestId,
+    /// Index among the attempts of its request, from 0.
     number: u8,
-    /// Where it goes.
+    /// The endpoint that it goes to.
     pub target: Target,
-    /// When it is abandoned.
+    /// Time at which the attempt is abandoned.
     pub until: Time,
-    sent: Time,
+    sent_at: Time,
     halted: Receiver<Halt>,
-    booked: bool,
+    completed: bool,
 }
 
 impl Attempt {
     pub(super) fn new(
         sidecar: Rc<Sidecar>,
-        flow: RequestId,
+        request: RequestId,
         number: u8,
         target: Target,
         until: Time,
         halted: Receiver<Halt>,
     ) -> Attempt {
-        let sent = sidecar.clock.now();
-        Attempt { sidecar, flow, number, target, until, sent, halted, booked: false }
+        let sent_at = sidecar.clock.now();
+        Attempt { sidecar, request, number, target, until, sent_at, halted, completed: false }
     }
 
-    /// Waits until it should end early.
+    /// Waits until the attempt should be aborted.
     pub async fn halted(&self) -> Halt {
         self.halted.recv().await.unwrap_or(Halt::Withdrawn)
     }
 
-    /// Whether its next byte may be written, if the last one comes to the target `way` from now; else why not. The guard
-    /// says so: a target that wants nothing new gets no first byte, and nothing goes out for a flow that is over, whose
-    /// client has gone, or that the balancer would not have run then.
-    pub fn may_write(&self, begun: bool, client_waits: bool, way: Duration) -> Result<(), Denial> {
+    /// Whether the next byte may be written, given that the last byte reaches the endpoint
+    /// `arrives_in` from now; otherwise the reason. The guard decides: no first byte is sent to an
+    /// endpoint that accepts no new attempts, and nothing is sent for a request that has ended,
+    /// whose client has gone, or for which the balancer would not allow an attempt at the time of
+    /// arrival.
+    pub fn may_write(&self, started: bool, client_waits: bool, arrives_in: Duration) -> Result<(), Denial> {
         let sidecar = &self.sidecar;
         let now = sidecar.clock.now();
-        let (request_open, repeatable) = sidecar.may_reach(self.flow, now + way);
+        let (request_open, repeatable) = sidecar.may_reach(self.request, now + arrives_in);
         let facts = AttemptFacts {
-            begun,
+            started,
             client_waits,
             request_open,
             repeatable,
             until: self.until,
-            endpoint: sidecar.core.borrow().group.standing(self.target.id),
+            endpoint: sidecar.core.borrow().endpoint_list.standing(self.target.id),
             list_valid: sidecar.lease.borrow().is_valid(now),
         };
         sidecar.guard.may_write(now, facts).inspect_err(|denial| self.log_denial(*denial, facts))
@@ -62,17 +64,18 @@
     fn log_denial(&self, denial: Denial, facts: AttemptFacts) {
         let (age, _) = self.sidecar.list_age();
         tracing::debug!(
-            flow = self.flow.0,
+            flow = self.request.0,
             attempt = self.number,
             endpoint = %format_args!("{:016x}", self.target.id.0),
             reason = denial.name(),
             standing = ?facts.endpoint,
             list_age_ms = age.map(|age| age.as_millis() as u64),
-            "an attempt is denied"
+            "attempt denied by the guard"
         );
     }
 
-    /// Checks, by the clock as it stands after its first byte was written, whether a rule was broken.
+    /// Checks, by the clock read after the first byte was written, whether the attempt violated a
+    /// rule.
     pub fn check_begun(&self) {
         let sidecar = &self.sidecar;
         let now = sidecar.clock.now();
@@ -80,32 +83,33 @@
         if let Some(violation) = sidecar.guard.check_begun(now, self.until, list_violated) {
             let (age, _) = sidecar.list_age();
             tracing::error!(
-                flow = self.flow.0,
+                flow = self.request.0,
                 attempt = self.number,
                 endpoint = %format_args!("{:016x}", self.target.id.0),
                 rule = violation.name(),
                 list_age_ms = age.map(|age| age.as_millis() as u64),
-                "a rule was broken"
+                "attempt violated a protocol rule"
             );
         }
     }
 
-    /// Whether its target still takes new work.
+    /// Whether the endpoint still accepts new attempts.
     pub fn wanted(&self) -> bool {
         self.sidecar.takes_work(self.target.id)
     }
 
-    /// Tells the balancer how it ended. Returns whether the answer of a served attempt is the client's.
+    /// Reports the outcome to the balancer. Returns whether this attempt's answer is the one to
+    /// pass on to the client.
     pub fn book(mut self, outcome: Outcome, report: Option<LoadReport>) -> bool {
         self.finish(outcome, report)
     }
 
     fn finish(&mut self, outcome: Outcome, report: Option<LoadReport>) -> bool {
-        self.booked = true;
-        self.sidecar.counts.book(outcome);
+        self.completed = true;
+        self.sidecar.counts.count_attempt(outcome);
         let was_closed = {
             let mut core = self.sidecar.core.borrow_mut();
-            match core.flows.get_mut(&self.flow) {
+            match core.requests.get_mut(&self.request) {
                 Some(entry) if outcome == Outcome::Ok => std::mem::replace(&mut entry.closed, true),
                 Some(entry) => entry.closed,
                 None => true,
@@ -113,12 +117,12 @@
         };
         let served = outcome == Outcome::Ok && !was_closed;
         self.sidecar.feed(Event::Finished {
-            id: self.flow,
+            id: self.request,
             attempt: self.number,
             endpoint: self.target.id,
             outcome,
             closed: served || was_closed,
-            elapsed: self.sidecar.clock.now().since(self.sent),
+            elapsed: self.sidecar.clock.now().since(self.sent_at),
             report,
         });
         served
@@ -127,7 +131,7 @@
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        if !self.booked {
+        if !self.completed {
             self.finish(Outcome::Cancelled, None);
         }
     }
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -1,7 +1,9 @@
-//! The guard: the one place that says whether something may begin now (a first attempt, a retry, the first byte after a
-//! connection came up late, the end of a client's connection), and that checks afterwards whether a rule was broken.
+//! The guard: the single place that decides whether something may start now (a first attempt, a
+//! retry, the first byte after a connection was established late, closing a client's connection),
+//! and that checks afterwards whether a rule was violated.
 //!
-//! Who asks gives the facts; the guard has no I/O and no clock. It counts what it denies by reason, and violations by rule.
+//! Callers supply the facts; the guard does no I/O and reads no clock. It counts denials by reason
+//! and violations by rule.
 
 use cottonpoint_decide::{Outcome, Time};
 use std::cell::Cell;
@@ -10,10 +12,11 @@
 #[cfg(test)]
 mod tests;
 
-/// A write may end so long after the time that the guard was asked about (the operators' page: a process may be held up).
-const HELD_UP: Duration = Duration::from_millis(150);
+/// A write may complete this long after the time that the guard was given, since a process may be
+/// stalled for that long (the deployment's requirements).
+const MAX_STALL: Duration = Duration::from_millis(150);
 
-/// Why an attempt must not begin, or not go on.
+/// Why an attempt must not start or continue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
     /// The client has closed its connection.
@@ -22,18 +25,18 @@
     RequestOver,
     /// An earlier attempt may have run, and the request's class does not allow another one now.
     NotRepeatable,
-    /// The time of the attempt is over.
+    /// The deadline of the attempt has passed.
     OutOfTime,
-    /// The list could not be confirmed for so long that any endpoint on it may have left.
+    /// The lease on the endpoint list has expired: any endpoint on it may have been removed.
     ListExpired,
-    /// The endpoint drains, or was taken out by hand.
+    /// The endpoint is draining, or an operator has taken it offline.
     EndpointLeaving,
-    /// The list does not name the endpoint any more.
+    /// The endpoint is no longer on the list.
     EndpointGone,
 }
 
 impl Denial {
-    /// All of them, in the order of their numbers.
+    /// All reasons, in the order of their discriminants.
     pub const ALL: [Denial; 7] = [
         Denial::ClientGone,
         Denial::RequestOver,
@@ -44,7 +47,7 @@
         Denial::EndpointGone,
     ];
 
-    /// Its name in logs and metrics.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Denial::ClientGone => "client_gone",
@@ -57,30 +60,30 @@
         }
     }
 
-    /// How an attempt that it ends is booked: none of them ran, and what this process did not let begin says nothing of the
-    /// endpoint.
+    /// Outcome reported for an attempt that was denied. No such attempt has run, and a denial by
+    /// this process is no evidence about the endpoint.
     pub fn outcome(self) -> Outcome {
         Outcome::Moot
     }
 }
 
-/// A rule that was found broken.
+/// A violated rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// An attempt began after the lease on the list and the whole grace.
+    /// An attempt started after the lease on the endpoint list and its whole grace period.
     SentOnExpiredList,
-    /// An attempt began after its time.
+    /// An attempt started after its deadline.
     SentOutOfTime,
-    /// A connection was to be closed under a request that was owed an answer.
+    /// A connection was about to be closed while a request on it was owed an answer.
     ClosedWithoutAnswer,
 }
 
 impl Violation {
-    /// All of them, in the order of their numbers.
+    /// All rules, in the order of their discriminants.
     pub const ALL: [Violation; 3] =
         [Violation::SentOnExpiredList, Violation::SentOutOfTime, Violation::ClosedWithoutAnswer];
 
-    /// Its name in logs and metrics.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Violation::SentOnExpiredList => "sent_on_expired_list",
@@ -90,38 +93,39 @@
     }
 }
 
-/// What is known of an endpoint.
+/// Status of an endpoint as far as the guard is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStanding {
-    /// It takes new work.
+    /// Accepts new attempts.
     Active,
-    /// It finishes what it has.
+    /// Draining: finishes the requests that it has.
     Leaving,
-    /// The list does not name it.
+    /// Not on the list.
     Unlisted,
 }
 
-/// What the guard must know of an attempt.
+/// The facts that decide whether an attempt may start or continue.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptFacts {
-    /// Whether its first byte is written.
-    pub begun: bool,
-    /// Whether its client still waits.
+    /// Whether the first byte has been written.
+    pub started: bool,
+    /// Whether the client is still waiting.
     pub client_waits: bool,
-    /// Whether its request is still owed an answer.
+    /// Whether the request is still owed an answer.
     pub request_open: bool,
-    /// Whether the request's class allows an attempt that comes to its endpoint at the expected time.
+    /// Whether the request's class allows an attempt that reaches its endpoint at the expected
+    /// time.
     pub repeatable: bool,
-    /// When it is given up.
+    /// Time at which the attempt is abandoned.
     pub until: Time,
-    /// What is known of its endpoint.
+    /// Status of the endpoint.
     pub endpoint: EndpointStanding,
-    /// Whether the lease on the list holds.
+    /// Whether the lease on the endpoint list is valid.
     pub list_valid: bool,
 }
 
 impl AttemptFacts {
-    /// Why its next byte must not be written; `None` where it may be.
+    /// Why the next byte must not be written; `None` if it may be.
     fn denial(&self, now: Time) -> Option<Denial> {
         let endpoint = match self.endpoint {
             EndpointStanding::Active => None,
@@ -129,18 +133,18 @@
             EndpointStanding::Unlisted => Some(Denial::EndpointGone),
         };
         let expired = (!self.list_valid).then_some(Denial::ListExpired);
-        // What has begun may go on at an endpoint that leaves meanwhile.
-        let endpoint = expired.or(endpoint).filter(|_| !self.begun);
-        let denied = |denial, holds: bool| (!holds).then_some(denial);
-        denied(Denial::ClientGone, self.client_waits)
-            .or(denied(Denial::RequestOver, self.request_open))
-            .or(denied(Denial::OutOfTime, now < self.until))
+        // An attempt that has started may continue at an endpoint that starts draining meanwhile.
+        let endpoint = expired.or(endpoint).filter(|_| !self.started);
+        let deny_unless = |denial, allowed: bool| (!allowed).then_some(denial);
+        deny_unless(Denial::ClientGone, self.client_waits)
+            .or(deny_unless(Denial::RequestOver, self.request_open))
+            .or(deny_unless(Denial::OutOfTime, now < self.until))
             .or(endpoint)
-            .or(denied(Denial::NotRepeatable, self.repeatable))
+            .or(deny_unless(Denial::NotRepeatable, self.repeatable))
     }
 }
 
-/// The guard, and what it has counted.
+/// The guard and its counters.
 #[derive(Debug, Default)]
 pub struct Guard {
     denials: [Cell<u64>; Denial::ALL.len()],
@@ -148,47 +152,49 @@
 }
 
 impl Guard {
-    /// Whether the next byte of an attempt may be written now.
+    /// Whether the next byte of an attempt may be written now. Counts the denial if not.
     pub fn may_write(&self, now: Time, facts: AttemptFacts) -> Result<(), Denial> {
         match facts.denial(now) {
             None => Ok(()),
             Some(denial) => {
-                more(&self.denials[denial as usize]);
+                increment(&self.denials[denial as usize]);
                 Err(denial)
             }
         }
     }
 
-    /// Checks an attempt whose first byte is written, by a clock that was read afterwards.
+    /// Checks an attempt after its first byte was written; `now` must have been read after the
+    /// write.
     pub fn check_begun(&self, now: Time, until: Time, list_violated: bool) -> Option<Violation> {
         if list_violated {
             return Some(self.violation(Violation::SentOnExpiredList));
         }
-        (now > until + HELD_UP).then(|| self.violation(Violation::SentOutOfTime))
+        (now > until + MAX_STALL).then(|| self.violation(Violation::SentOutOfTime))
     }
 
-    /// Whether a client's connection may be closed with no answer to a request that was read: only where nobody is there.
-    /// What is asked otherwise is a violation, and the request is to be answered as failed.
+    /// Whether a client's connection may be closed without an answer to a request that was read:
+    /// only if the client has gone. Otherwise the attempt to close is a violation, and the caller
+    /// must answer the request as failed.
     pub fn may_close_unanswered(&self, client_waits: bool) -> Result<(), Violation> {
         if client_waits { Err(self.violation(Violation::ClosedWithoutAnswer)) } else { Ok(()) }
     }
 
     fn violation(&self, violation: Violation) -> Violation {
-        more(&self.violations[violation as usize]);
+        increment(&self.violations[violation as usize]);
         violation
     }
 
-    /// How often each reason denied something.
+    /// Number of denials for each reason.
     pub fn denials(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         Denial::ALL.iter().zip(&self.denials).map(|(denial, count)| (denial.name(), count.get()))
     }
 
-    /// How often each rule was found broken.
+    /// Number of violations of each rule.
     pub fn violations(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         Violation::ALL.iter().zip(&self.violations).map(|(rule, count)| (rule.name(), count.get()))
     }
 }
 
-fn more(count: &Cell<u64>) {
+fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
--- a/crates/core/src/guard/tests.rs
+++ b/crates/core/src/guard/tests.rs
@@ -2,10 +2,10 @@
 
 const NOW: Time = Time(5_000_000_000);
 
-/// Facts that allow everything.
+/// Facts that allow an attempt.
 fn allowed() -> AttemptFacts {
     AttemptFacts {
-        begun: false,
+        started: false,
         client_waits: true,
         request_open: true,
         repeatable: true,
@@ -15,7 +15,7 @@
     }
 }
 
-/// Guards against: a fact that nobody asks about, and a denial that is not counted under its reason.
+/// Guards against: a fact that is not checked, or a denial that is not counted under its reason.
 #[test]
 fn each_fact_denies_by_itself_and_is_counted() {
     let cases = [
@@ -37,34 +37,40 @@
     assert!(guard.violations().all(|(_, count)| count == 0));
 }
 
-/// Guards against: an attempt that has begun cut off under way for what it need not heed any more.
+/// Guards against: an attempt that has started being cut off by conditions that only apply before
+/// the start.
 #[test]
-fn what_has_begun_heeds_neither_list_nor_drain() {
-    let facts =
-        AttemptFacts { begun: true, list_valid: false, endpoint: EndpointStanding::Unlisted, ..allowed() };
+fn started_attempt_ignores_list_expiry_and_drain() {
+    let facts = AttemptFacts {
+        started: true,
+        list_valid: false,
+        endpoint: EndpointStanding::Unlisted,
+        ..allowed()
+    };
     assert_eq!(Guard::default().may_write(NOW, facts), Ok(()));
     let late = AttemptFacts { until: NOW, ..facts };
     assert_eq!(Guard::default().may_write(NOW, late), Err(Denial::OutOfTime));
 }
 
-/// Guards against: a broken rule that nobody counts.
+/// Guards against: a violation that is not counted.
 #[test]
-fn violations_are_found_and_counted() {
+fn violations_are_detected_and_counted() {
     let guard = Guard::default();
     let until = NOW + Duration::from_millis(100);
     assert_eq!(guard.check_begun(NOW, until, false), None);
-    assert_eq!(guard.check_begun(until + HELD_UP, until, false), None);
+    assert_eq!(guard.check_begun(until + MAX_STALL, until, false), None);
     assert_eq!(guard.check_begun(NOW, until, true), Some(Violation::SentOnExpiredList));
-    let late = until + HELD_UP + Duration::from_millis(1);
+    let late = until + MAX_STALL + Duration::from_millis(1);
     assert_eq!(guard.check_begun(late, until, false), Some(Violation::SentOutOfTime));
     assert_eq!(guard.may_close_unanswered(false), Ok(()));
     assert_eq!(guard.may_close_unanswered(true), Err(Violation::ClosedWithoutAnswer));
     assert!(guard.violations().all(|(_, count)| count == 1));
 }
 
-/// Guards against: an endpoint blamed for what this process did not let begin: its own clock, its list or its client.
+/// Guards against: an endpoint blamed for what this process denied because of its own clock, list
+/// or client.
 #[test]
-fn no_denial_is_evidence_about_an_endpoint() {
+fn denials_are_reported_as_moot() {
     for denial in Denial::ALL {
         assert_eq!(denial.outcome(), Outcome::Moot, "{denial:?}");
     }
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,26 +1,30 @@
-//! The lease on the endpoint list: until when the list held may be used, for all that is known of discovery. How polls
-//! of discovery begin and end goes in, a time comes out; no sockets, timers or clocks of its own.
+//! The lease on the endpoint list: until when the current list may be used, given all that is known
+//! about discovery. It is computed from how polls of discovery begin and end; this module has no
+//! sockets, timers or clock of its own.
 //!
-//! A change that this process has not heard of counts as told some time after discovery had it, arrived or not. Until the
-//! earliest such time, and the grace of a drain after it, the list held may be used; after that nothing new may be sent,
-//! since any endpoint on the list may have left. That earliest time follows from what is known for certain:
+//! A change that this process has not received counts as notified some time after discovery has it,
+//! whether the notification arrived or not. The list may be used until the earliest such time plus
+//! the grace period of a drain. After that no new attempt may be sent, since any endpoint on the
+//! list may have been removed. The earliest time follows from what is known for certain:
 //!
-//! | what is known | an unknown change counts as told at the earliest |
+//! | what is known | earliest time at which an unknown change counts as notified |
 //! | --- | --- |
-//! | the list was complete at some time | 6 s after that time (at once, where an agent pushes it) |
-//! | discovery could not be reached at some time | 6 s after that time: the clock runs from its return |
-//! | a watch is open for longer than a poll may stand in a queue, or goes on at once after an answer, asked for while the lease held | 2 s after its wait |
-//! | an open watch broke | 6 s after that, and no later than 2 s after its wait |
-//! | a reload named another discovery | 4 s after the reload at most |
-//! | no watch is open, and nothing was asked for some time | as the settings' `ask_within` says, four times it after a failure |
+//! | the list was complete at some time | 6 s after that time (at once, if an agent pushes the list) |
+//! | discovery could not be reached at some time | 6 s after that time: the 6 s run from its return |
+//! | a watch is open for longer than a poll may be queued, or continues right after an answer, and was requested while the lease was valid | 2 s after its hold time |
+//! | an open watch broke | 6 s after that, but no later than 2 s after its hold time |
+//! | a reload named another discovery | at most 4 s after the reload |
+//! | no watch is open, and no poll was made for some time | as the setting `ask_within` says; four times that after a failed poll |
 //!
-//! What may have counted as told stays told: once the lease has run out, only an answer renews it.
+//! A change that may have counted as notified stays so: once the lease has expired, only an answer
+//! renews it.
 //!
-//! A poll that discovery turns away at once shows that it is there, and that it has no room: nothing extends the lease from
-//! then on but an answer or an open watch. One that is turned away after a wait says that discovery is down or overrun,
-//! and not which. It is taken for an outage only as long as nothing has shown that discovery is there, or after an
-//! established watch broke, as all do when discovery goes down. `docs/design/discovery.md` says what this cannot tell
-//! apart.
+//! A poll that discovery rejects at once shows that discovery is up and has no capacity. From then
+//! on only an answer or an open watch extends the lease. A poll that is rejected after a wait shows
+//! that discovery is down or overloaded, but not which of the two. It is taken for an outage only
+//! as long as nothing has shown that discovery is up, or after an established watch broke, since
+//! all watches break when discovery goes down. `docs/design/discovery.md` describes the cases that
+//! cannot be told apart.
 
 use cottonpoint_decide::{Discovery, Time};
 use std::time::Duration;
@@ -28,138 +32,147 @@
 #[cfg(test)]
 mod tests;
 
-/// What discovery has counts as told after this time, arrived or not (the protocol page).
-const NEWS_DUE: Duration = Duration::from_secs(6);
-/// The same after the wait of a watch that has fallen silent (the protocol page).
-const NEWS_DUE_AFTER_WAIT: Duration = Duration::from_secs(2);
-/// The same after a reload that names another discovery (the operators' page).
-const NEWS_DUE_AFTER_RELOAD: Duration = Duration::from_secs(4);
-/// A process may be held up for 0.15 s between reading its clock and writing (the operators' page), and a timer may fire
-/// 0.05 s late.
-const HELD_UP: Duration = Duration::from_millis(200);
-/// A watch that is open for longer stands in no queue: discovery keeps a poll there for 2 s at most
-/// (`docs/design/discovery.md`).
+/// A change counts as notified this long after discovery has it, whether it arrived or not (the
+/// protocol specification).
+const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
+/// The same after the hold time of a watch that has timed out (the protocol specification).
+const NOTIFIED_AFTER_HOLD: Duration = Duration::from_secs(2);
+/// The same after a reload that names another discovery (the deployment's requirements).
+const NOTIFIED_AFTER_RELOAD: Duration = Duration::from_secs(4);
+/// A process may be stalled for 0.15 s between reading its clock and writing (the deployment's
+/// requirements), and a timer may fire 0.05 s late.
+const STALL_MARGIN: Duration = Duration::from_millis(200);
+/// A watch open for longer than this is not queued: discovery keeps a poll in its queue for at most
+/// 2 s (`docs/design/discovery.md`).
 const ESTABLISHED_AFTER: Duration = Duration::from_millis(2500);
-/// A watch goes on where the next poll comes so soon after the last answer (the protocol page).
-const WATCH_CONTINUES: Duration = Duration::from_millis(200);
-/// A call that failed counts this many times the settings' time for asking (the operators' page).
-const ASK_WITHIN_AFTER_FAILURE: u32 = 4;
-
-/// How polls of discovery begin and end, as evidence about the list.
+/// A poll that starts this soon after the last answer continues the watch (the protocol
+/// specification).
+const WATCH_CONTINUES_WITHIN: Duration = Duration::from_millis(200);
+/// After a failed poll, the setting `ask_within` counts this many times (the deployment's
+/// requirements).
+const ASK_WITHIN_FAILURE_FACTOR: u32 = 4;
+
+/// How polls of discovery begin and end, as evidence about the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollEvent {
-    /// A poll is begun, which may have to connect first; it waits so long for news.
+    /// A poll starts. It may have to connect first; discovery then holds it for up to `hold`.
     Begun {
-        /// How long it waits.
+        /// Time for which discovery may hold the poll open until there is a change; zero for a poll
+        /// that is not a watch.
         hold: Duration,
     },
-    /// Its connection is there, and it is sent.
+    /// The connection is established and the poll has been sent.
     Connected,
-    /// It was answered: the list held is complete as of that time.
+    /// The poll was answered: the current list is complete as of this time.
     Answered {
-        /// The latest time at which discovery may have written the answer, if its way took as long as it may.
+        /// Time at which discovery wrote the answer at the latest, assuming the longest transit
+        /// time.
         as_of: Time,
     },
-    /// Discovery said at once that it has no room: it is there.
+    /// Discovery rejected the poll at once: it is up, but has no capacity.
     Rejected,
-    /// Discovery said, or ended the connection, after a wait: it is down, or the poll waited too long.
+    /// Discovery rejected the poll or closed the connection after a wait: it is down, or the poll
+    /// was queued for too long.
     TurnedAway,
-    /// No connection came up: discovery could not be reached when the poll began.
+    /// No connection was established: discovery could not be reached when the poll began.
     Unreachable,
-    /// It came to nothing, which says nothing of discovery: a fault of this process or of the way, the connection ended at
-    /// once, or the answer could not be used. One that was not connected is no call on discovery.
+    /// The poll failed in a way that says nothing about discovery: a fault of this process or of
+    /// the network path, a connection that was closed at once, or an unusable answer. If it was not
+    /// connected, it does not count as a poll.
     Broken,
-    /// Nothing was heard in time.
+    /// Nothing was received in time.
     Silent,
-    /// A reload names another discovery; the poll under way is dropped.
+    /// A reload names another discovery; the poll in progress is dropped.
     Moved,
 }
 
-/// A poll under way.
+/// A poll in progress.
 #[derive(Clone, Copy, Debug)]
 struct Poll {
     begun: Time,
     hold: Duration,
-    /// Whether it is connected and sent.
+    /// Whether it has been connected and sent.
     sent: bool,
-    /// Whether it goes on with a watch that has been answered.
+    /// Whether it continues a watch that has been answered.
     continues: bool,
 }
 
 impl Poll {
-    /// From when on it is known to be a watch that discovery holds open, rather than one that may stand in its queue;
-    /// `None` for a poll that does not wait. A watch that goes on has been taken, and queues no more.
-    fn established_at(&self, queues_for: Duration) -> Option<Time> {
+    /// From when on the poll is known to be a watch that discovery holds open, rather than one that
+    /// may still be queued; `None` for a poll that is not a watch. A watch that continues has been
+    /// accepted and is not queued again.
+    fn established_at(&self, max_queue_time: Duration) -> Option<Time> {
         if self.continues {
             return Some(self.begun);
         }
-        (self.sent && !self.hold.is_zero()).then(|| self.begun + queues_for)
+        (self.sent && !self.hold.is_zero()).then(|| self.begun + max_queue_time)
     }
 
-    /// When what it missed in a silence counts as told.
-    fn due_if_silent(&self) -> Time {
-        self.begun + self.hold + NEWS_DUE_AFTER_WAIT
+    /// When a change that was missed during a silence counts as notified.
+    fn notified_if_silent(&self) -> Time {
+        self.begun + self.hold + NOTIFIED_AFTER_HOLD
     }
 }
 
-/// The last call on discovery.
+/// The last poll that reached discovery or failed to.
 #[derive(Clone, Copy, Debug)]
-struct LastCall {
+struct LastPoll {
     at: Time,
     failed: bool,
 }
 
-/// What is known of discovery.
+/// What is known about discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DiscoveryState {
-    /// It may be down: a poll that is turned away after a wait is taken for an outage.
+    /// It may be down: a poll that is rejected after a wait is taken for an outage.
     MayBeDown,
-    /// It was there when it last answered.
-    There,
-    /// It was there after the list was last confirmed, with no room for a poll: a change may count as told six seconds
-    /// after the list was confirmed, whatever discovery does from then on.
-    NoRoom,
+    /// It was up when it last answered.
+    Available,
+    /// It was up, without capacity for a poll, after the list was last confirmed: a change may
+    /// count as notified six seconds after that confirmation, whatever happens to discovery
+    /// afterwards.
+    Overloaded,
 }
 
-/// The lease on the list held.
+/// The lease on the current endpoint list.
 #[derive(Clone, Debug)]
 pub struct Lease {
     discovery: Discovery,
-    /// How long something new may still go to an endpoint once it has left.
+    /// How long new attempts may still go to an endpoint after it starts draining.
     grace: Duration,
-    /// When an unknown change counts as told at the earliest, the poll under way apart.
-    due: Time,
-    /// No later than this, since a reload.
-    reload_due: Option<Time>,
+    /// Earliest time at which an unknown change counts as notified, without the poll in progress.
+    notified_at: Time,
+    /// Upper bound of the above after a reload.
+    notified_by_reload: Option<Time>,
     poll: Option<Poll>,
     /// When the last poll was answered, if it was a watch.
     watch_answered: Option<Time>,
-    last_call: LastCall,
+    last_poll: LastPoll,
     state: DiscoveryState,
-    /// As of when the list held was last known to be complete.
+    /// Time at which the current list was last known to be complete.
     confirmed: Option<Time>,
 }
 
 impl Lease {
-    /// The lease of a process that starts: the list that it is started with is no older than that.
+    /// The lease of a starting process, whose initial list is no older than the process.
     pub fn new(now: Time, discovery: Discovery, grace: Duration) -> Lease {
         let mut lease = Lease {
             discovery,
             grace,
-            due: now,
-            reload_due: None,
+            notified_at: now,
+            notified_by_reload: None,
             poll: None,
             watch_answered: None,
-            last_call: LastCall { at: now, failed: false },
+            last_poll: LastPoll { at: now, failed: false },
             state: DiscoveryState::MayBeDown,
             confirmed: None,
         };
-        lease.due = now + lease.news_due();
+        lease.notified_at = now + lease.notified_after();
         lease
     }
 
-    /// Other settings hold from now on.
-    pub fn set_terms(&mut self, discovery: Discovery, grace: Duration) {
+    /// Applies new settings.
+    pub fn configure(&mut self, discovery: Discovery, grace: Duration) {
         (self.discovery, self.grace) = (discovery, grace);
     }
 
@@ -168,190 +181,195 @@
         self.discovery == Discovery::Pushed
     }
 
-    /// Until when the list may be used, as it stands now. The time that a process may be held up is taken off.
+    /// Time until which the list may be used, as known now. The time for which a process may be
+    /// stalled is already subtracted.
     pub fn expires_at(&self, now: Time) -> Time {
-        self.due(now) + self.usable_grace()
+        self.notified_at(now) + self.usable_grace()
     }
 
-    /// Whether something new may be sent on the list held.
+    /// Whether new attempts may be sent according to the current list.
     pub fn is_valid(&self, now: Time) -> bool {
         now < self.expires_at(now)
     }
 
-    /// When [`Lease::is_valid`] has to be asked again, if no poll ends before.
+    /// When [`Lease::is_valid`] may change next, provided that no poll ends before.
     pub fn next_change(&self, now: Time) -> Option<Time> {
         let expires = Some(self.expires_at(now)).filter(|expires| *expires > now);
         let established = self.established_at().filter(|at| *at > now);
         expires.into_iter().chain(established).min()
     }
 
-    /// Whether something sent at that time on the list held may have broken the rule.
+    /// Whether an attempt sent at `now` according to the current list may have violated the rule.
     pub fn is_violated(&self, now: Time) -> bool {
-        now > self.due(now) + self.grace
+        now > self.notified_at(now) + self.grace
     }
 
-    /// How long ago the list was last known to be complete; `None` where it never was.
+    /// Time since the list was last known to be complete; `None` if it never was.
     pub fn age(&self, now: Time) -> Option<Duration> {
         self.confirmed.map(|confirmed| now.since(confirmed))
     }
 
-    /// Takes how a poll began or ended.
+    /// Records how a poll began or ended.
     pub fn observe(&mut self, now: Time, event: PollEvent) {
         match event {
-            PollEvent::Begun { hold } => return self.begin(now, hold),
-            PollEvent::Connected => return self.connected(now),
+            PollEvent::Begun { hold } => return self.on_begun(now, hold),
+            PollEvent::Connected => return self.on_connected(now),
             PollEvent::Broken if self.poll.is_some_and(|poll| !poll.sent) => return self.poll = None,
-            PollEvent::Answered { as_of } => self.answered(as_of),
-            PollEvent::Rejected => self.rejected(now),
-            PollEvent::TurnedAway => self.turned_away(now),
-            PollEvent::Unreachable => self.unreachable(now),
+            PollEvent::Answered { as_of } => self.on_answered(as_of),
+            PollEvent::Rejected => self.on_rejected(now),
+            PollEvent::TurnedAway => self.on_rejected_after_wait(now),
+            PollEvent::Unreachable => self.on_unreachable(now),
             PollEvent::Broken => drop(self.ended_while_established(now)),
-            PollEvent::Silent => self.silent(now),
-            PollEvent::Moved => self.moved(now),
+            PollEvent::Silent => self.on_silent(now),
+            PollEvent::Moved => self.on_discovery_changed(now),
         }
         let failed = !matches!(event, PollEvent::Answered { .. });
-        self.last_call = LastCall { at: now, failed };
+        self.last_poll = LastPoll { at: now, failed };
         let watched = self.poll.take().is_some_and(|poll| !poll.hold.is_zero());
         self.watch_answered = Some(now).filter(|_| watched && !failed);
     }
 
-    fn news_due(&self) -> Duration {
+    fn notified_after(&self) -> Duration {
         match self.discovery {
             Discovery::Pushed => Duration::ZERO,
-            Discovery::OnRequest { .. } => NEWS_DUE,
+            Discovery::OnRequest { .. } => NOTIFIED_AFTER,
         }
     }
 
-    /// When an unknown change counts as told at the earliest.
-    fn due(&self, now: Time) -> Time {
-        let due = match self.established_watch(now) {
-            Some(watch) => self.due.max(watch.due_if_silent()),
-            // A poll under way asks.
-            None if self.poll.is_some_and(|poll| poll.sent) => self.due,
-            None => self.due.min(self.due_without_asking()),
+    /// Earliest time at which an unknown change counts as notified.
+    fn notified_at(&self, now: Time) -> Time {
+        let notified_at = match self.established_watch(now) {
+            Some(watch) => self.notified_at.max(watch.notified_if_silent()),
+            // A poll in progress counts as polling now.
+            None if self.poll.is_some_and(|poll| poll.sent) => self.notified_at,
+            None => self.notified_at.min(self.notified_without_polling()),
         };
-        self.reload_due.map_or(due, |reload| due.min(reload))
+        self.notified_by_reload.map_or(notified_at, |reload_bound| notified_at.min(reload_bound))
     }
 
-    /// The watch that discovery is taken to hold open.
+    /// The poll in progress, if discovery is taken to hold it open as a watch.
     fn established_watch(&self, now: Time) -> Option<Poll> {
         self.poll.filter(|_| self.established_at().is_some_and(|at| at <= now))
     }
 
-    /// From when on the poll under way is taken for such a watch. An agent has no queue. Once the lease has run out only an
-    /// answer renews it: what counts as told stays told, and a silent discovery answers no watch.
+    /// From when on the poll in progress is taken for an established watch. An agent has no queue.
+    /// Once the lease has expired, only an answer renews it: what counts as notified stays so, and
+    /// a silent discovery answers no watch.
     fn established_at(&self) -> Option<Time> {
-        let queues_for = if self.is_pushed() { Duration::ZERO } else { ESTABLISHED_AFTER };
-        let runs_out = self.due + self.usable_grace();
-        self.poll.and_then(|poll| poll.established_at(queues_for)).filter(|at| *at < runs_out)
+        let max_queue_time = if self.is_pushed() { Duration::ZERO } else { ESTABLISHED_AFTER };
+        let expiry = self.notified_at + self.usable_grace();
+        self.poll.and_then(|poll| poll.established_at(max_queue_time)).filter(|at| *at < expiry)
     }
 
-    /// The grace without the time that a process may be held up.
+    /// The grace period without the time for which a process may be stalled.
     fn usable_grace(&self) -> Duration {
-        self.grace.saturating_sub(HELD_UP)
+        self.grace.saturating_sub(STALL_MARGIN)
     }
 
-    /// When a change counts as told to a process that has no watch and does not ask.
-    fn due_without_asking(&self) -> Time {
+    /// When a change counts as notified to a process that has no watch and does not poll.
+    fn notified_without_polling(&self) -> Time {
         match self.discovery {
             Discovery::Pushed => Time(u64::MAX),
             Discovery::OnRequest { ask_within } => {
-                let times = if self.last_call.failed { ASK_WITHIN_AFTER_FAILURE } else { 1 };
-                self.last_call.at + ask_within * times
+                let times = if self.last_poll.failed { ASK_WITHIN_FAILURE_FACTOR } else { 1 };
+                self.last_poll.at + ask_within * times
             }
         }
     }
 
-    fn extend(&mut self, due: Time) {
-        self.due = self.due.max(due);
+    fn extend(&mut self, notified_at: Time) {
+        self.notified_at = self.notified_at.max(notified_at);
     }
 
-    fn begin(&mut self, now: Time, hold: Duration) {
-        self.keep_run_out(now);
+    fn on_begun(&mut self, now: Time, hold: Duration) {
+        self.keep_expired(now);
         self.poll = Some(Poll { begun: now, hold, sent: false, continues: false });
     }
 
-    /// Discovery is called from now on; the wait of a watch begins.
-    fn connected(&mut self, now: Time) {
-        let in_time = self.watch_answered.is_some_and(|answered| now <= answered + WATCH_CONTINUES);
+    /// From now on the poll has reached discovery, and the hold time of a watch begins.
+    fn on_connected(&mut self, now: Time) {
+        let continues_in_time =
+            self.watch_answered.is_some_and(|answered| now <= answered + WATCH_CONTINUES_WITHIN);
         if let Some(poll) = &mut self.poll {
-            let continues = in_time && !poll.hold.is_zero();
+            let continues = continues_in_time && !poll.hold.is_zero();
             *poll = Poll { begun: now, sent: true, continues, ..*poll };
-            self.last_call.at = now;
+            self.last_poll.at = now;
         }
     }
 
-    fn answered(&mut self, as_of: Time) {
-        self.state = DiscoveryState::There;
+    fn on_answered(&mut self, as_of: Time) {
+        self.state = DiscoveryState::Available;
         self.confirmed = Some(as_of);
-        self.reload_due = None;
-        self.extend(as_of + self.news_due());
+        self.notified_by_reload = None;
+        self.extend(as_of + self.notified_after());
     }
 
-    /// Where the poll that has just ended was an established watch, nothing was missed before, but for a silence.
+    /// If the poll that has just ended was an established watch, no change was missed before its
+    /// end, unless it was silent.
     fn ended_while_established(&mut self, now: Time) -> bool {
         let Some(watch) = self.established_watch(now) else { return false };
-        self.extend((now + self.news_due()).min(watch.due_if_silent()));
+        self.extend((now + self.notified_after()).min(watch.notified_if_silent()));
         self.state = DiscoveryState::MayBeDown;
         true
     }
 
-    fn rejected(&mut self, now: Time) {
+    fn on_rejected(&mut self, now: Time) {
         if !self.ended_while_established(now) {
-            self.state = DiscoveryState::NoRoom;
+            self.state = DiscoveryState::Overloaded;
         }
     }
 
-    fn turned_away(&mut self, now: Time) {
-        let may_have_been_down = self.state == DiscoveryState::MayBeDown;
+    fn on_rejected_after_wait(&mut self, now: Time) {
+        let could_be_outage = self.state == DiscoveryState::MayBeDown;
         self.ended_while_established(now);
-        if may_have_been_down {
-            self.was_down(now);
+        if could_be_outage {
+            self.record_outage(now);
         }
     }
 
-    fn unreachable(&mut self, now: Time) {
-        if self.ended_while_established(now) || self.state == DiscoveryState::NoRoom {
+    fn on_unreachable(&mut self, now: Time) {
+        if self.ended_while_established(now) || self.state == DiscoveryState::Overloaded {
             return;
         }
         self.state = DiscoveryState::MayBeDown;
-        self.was_down(now);
+        self.record_outage(now);
     }
 
-    /// A lease that has run out is not renewed by asking, nor by an outage that begins later: what may have counted as
-    /// told by then stays told.
-    fn keep_run_out(&mut self, now: Time) {
-        let due = self.due(now);
-        if due < now && !self.is_pushed() {
-            self.due = due;
+    /// An expired lease is not renewed by a poll, nor by an outage that begins later: what may have
+    /// counted as notified by then stays so.
+    fn keep_expired(&mut self, now: Time) {
+        let notified_at = self.notified_at(now);
+        if notified_at < now && !self.is_pushed() {
+            self.notified_at = notified_at;
         }
     }
 
-    /// Discovery could not be reached when the poll began: what has changed since has not been told by it. An agent that
-    /// cannot be reached learns nothing, whatever it told before.
-    fn was_down(&mut self, now: Time) {
+    /// Discovery could not be reached when the poll began, so later changes have not been notified
+    /// by it. An agent that cannot be reached learns of no changes, whatever it sent before.
+    fn record_outage(&mut self, now: Time) {
         let begun = self.poll.map_or(now, |poll| poll.begun);
-        if begun > self.due && !self.is_pushed() {
+        if begun > self.notified_at && !self.is_pushed() {
             return;
         }
-        self.reload_due = None;
-        self.extend(begun + self.news_due());
+        self.notified_by_reload = None;
+        self.extend(begun + self.notified_after());
     }
 
-    fn silent(&mut self, now: Time) {
+    fn on_silent(&mut self, now: Time) {
         match self.poll {
-            Some(watch) if self.established_watch(now).is_some() => self.extend(watch.due_if_silent()),
-            // An agent that is cut off from discovery says nothing, and learns nothing.
-            _ if self.is_pushed() => self.turned_away(now),
+            Some(watch) if self.established_watch(now).is_some() => self.extend(watch.notified_if_silent()),
+            // An agent that is cut off from discovery sends nothing and learns of no changes.
+            _ if self.is_pushed() => self.on_rejected_after_wait(now),
             _ => {}
         }
     }
 
-    fn moved(&mut self, now: Time) {
+    fn on_discovery_changed(&mut self, now: Time) {
         if let Some(watch) = self.established_watch(now) {
-            self.extend((now + self.news_due()).min(watch.due_if_silent()));
+            self.extend((now + self.notified_after()).min(watch.notified_if_silent()));
         }
-        let due = now + NEWS_DUE_AFTER_RELOAD;
-        self.reload_due = Some(self.reload_due.map_or(due, |earlier| earlier.min(due)));
+        let notified_at = now + NOTIFIED_AFTER_RELOAD;
+        self.notified_by_reload =
+            Some(self.notified_by_reload.map_or(notified_at, |earlier| earlier.min(notified_at)));
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,10 @@
-//! The sidecar's core, free of any protocol: it owns the balancer, the clock, the timers, the ids and the
-//! lifecycle of flows. It feeds events to the balancer and carries out what the balancer asks for.
+//! The protocol-independent core of the sidecar. It owns the balancer, the clock, the timers, the
+//! ids and the life cycle of requests; it feeds events to the balancer and performs the actions
+//! that the balancer returns.
 //!
-//! A front takes a flow in, calls [`Sidecar::admit`], then follows [`Flow::route`] step by step: each
-//! [`Attempt`] is sent by whatever speaks to targets and booked with its outcome, until a step ends the flow.
+//! A protocol front end reads a request, calls [`Sidecar::admit`] and then awaits [`Flow::route`]
+//! in a loop. It sends each [`Attempt`] to its endpoint and reports the outcome, until a decision
+//! ends the request.
 
 mod admit;
 mod book;
@@ -21,10 +23,10 @@
 pub use counts::{ClassCounts, Counts, Fate};
 pub use guard::{AttemptFacts, Denial, EndpointStanding, Guard, Violation};
 pub use lease::{Lease, PollEvent};
-pub use list::ANSWER_WAY;
+pub use list::MAX_ANSWER_TRANSIT;
 pub use route::{FixedResponse, Halt, Step};
 pub use stop::Stop;
-pub use targets::{Group, Lifecycle, Listed, NotListed, Target, target_id};
+pub use targets::{EndpointList, Lifecycle, Listed, Target, UnknownEndpoint, target_id};
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -39,75 +41,79 @@
 /// The executor that runs all of a sidecar's tasks on one thread.
 pub type Executor = Rc<LocalExecutor<'static>>;
 
-/// One flow as the core follows it.
-struct Entry {
-    /// The settings that it came in under: the balancer that holds it.
-    tuning: u32,
-    steps: Sender<Step>,
-    /// For each attempt: what may halt it, and where it goes.
+/// State of one request from its admission until its handle is dropped.
+struct RequestState {
+    /// Version of the settings under which the request was admitted; names the balancer that owns
+    /// it.
+    settings_version: u32,
+    decisions: Sender<Step>,
+    /// For each attempt, the channel that aborts it and the endpoint it goes to.
     attempts: Vec<(Sender<Halt>, EndpointId)>,
-    /// The final answer has been given, or is owed no more.
+    /// The final answer has been given, or none is owed any more.
     closed: bool,
 }
 
-/// Balancers held at once: the one of the settings in force, and those of earlier settings while flows that
-/// came in under them are open. A reload past that is put off until one of them is empty.
-const TUNINGS: usize = 4;
+/// Maximum number of balancers held at once: the one for the current settings, and those for
+/// earlier settings whose requests are still open. A reload beyond this is deferred until one of
+/// them has no open request.
+const MAX_BALANCERS: usize = 4;
 
 struct Core {
-    /// By the settings' number, oldest first; the last takes new flows.
+    /// Ordered by settings version, oldest first; the last one takes new requests.
     balancers: VecDeque<(u32, Balancer)>,
-    /// Settings given at a reload while [`TUNINGS`] balancers were held.
+    /// Settings of a reload that arrived while [`MAX_BALANCERS`] balancers were held.
     pending: Option<Settings>,
     seed: u64,
-    flows: HashMap<RequestId, Entry>,
-    group: Group,
+    requests: HashMap<RequestId, RequestState>,
+    endpoint_list: EndpointList,
     actions: Vec<Action>,
 }
 
-/// The core: one balancer with all that it needs to live on real time.
+/// The core of a sidecar: its balancer and what connects it to real time.
 pub struct Sidecar {
     core: RefCell<Core>,
     clock: Clock,
     executor: Executor,
-    next_flow: Cell<u64>,
+    next_request_id: Cell<u64>,
     subscribe: Sender<()>,
     counts: Counts,
     guard: Guard,
-    /// How the list is learned, by the settings in force.
+    /// How the endpoint list is obtained, according to the current settings.
     discovery: Cell<Discovery>,
     lease: RefCell<Lease>,
-    /// Tells of a change of the lease.
+    /// Signals that the lease has changed.
     lease_changed: (Sender<()>, Receiver<()>),
 }
 
-/// How long something new may go to a target that has left, where the settings do not say (the site files).
+/// Default time for which new attempts may still go to an endpoint after it starts draining, for
+/// settings that do not state it (the site files).
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
 impl Sidecar {
-    /// A sidecar without targets. The receiver yields whenever the balancer asks for the target group.
+    /// Creates a sidecar with an empty endpoint list. The receiver yields whenever the balancer
+    /// asks for the endpoint list.
     pub fn new(
         settings: Settings,
         seed: u64,
         clock: Clock,
         executor: Executor,
     ) -> (Rc<Self>, Receiver<()>) {
-        // One word says as much as many.
+        // One pending signal is enough: several requests for the list are served by one.
         let (subscribe, subscriptions) = async_channel::bounded(1);
         let (now, discovery) = (clock.now(), settings.discovery);
         let core = Core {
             balancers: VecDeque::from([(0, Balancer::new(settings, seed, now))]),
             pending: None,
             seed,
-            flows: HashMap::new(),
-            group: Group::default(),
+            requests: HashMap::new(),
+            endpoint_list: EndpointList::default(),
             actions: Vec::new(),
         };
         let sidecar = Sidecar {
             core: core.into(),
             clock,
             executor,
-            next_flow: Cell::new(1),
+            next_request_id: Cell::new(1),
             subscribe,
             counts: Counts::default(),
             guard: Guard::default(),
@@ -121,72 +127,81 @@
         (sidecar, subscriptions)
     }
 
-    /// The clock of all events.
+    /// The clock that timestamps all events.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// What it has counted since its start.
+    /// Counters since the sidecar was created.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// What says whether something may begin, and counts what it denies.
+    /// The guard that allows or denies each attempt and counts its denials.
     pub fn guard(&self) -> &Guard {
         &self.guard
     }
 
-    /// Whether a flow is owed an answer, and whether an attempt of it may come to its target at that time.
-    fn may_reach(&self, flow: RequestId, at: Time) -> (bool, bool) {
+    /// Whether `request` is still owed an answer, and whether an attempt of it may reach its
+    /// endpoint at `at`.
+    fn may_reach(&self, request: RequestId, at: Time) -> (bool, bool) {
         let core = &mut *self.core.borrow_mut();
-        let open = core.flows.get(&flow).filter(|entry| !entry.closed).map(|entry| entry.tuning);
-        (open.is_some(), open.is_some_and(|tuning| core.balancer(tuning).may_reach(flow, at)))
+        let open =
+            core.requests.get(&request).filter(|entry| !entry.closed).map(|entry| entry.settings_version);
+        (
+            open.is_some(),
+            open.is_some_and(|settings_version| core.balancer(settings_version).may_reach(request, at)),
+        )
     }
 
-    /// Flows taken and not ended.
+    /// Number of requests that were admitted and have not ended.
     pub fn open_flows(&self) -> usize {
-        self.core.borrow().flows.len()
+        self.core.borrow().requests.len()
     }
 
-    /// New flows go by these settings from now on; open flows keep the settings they came in under, with the
-    /// balancer that holds them, until the last of them ends. The new balancer learns the target group as it
-    /// stands, as at a start.
+    /// Applies new settings to requests admitted from now on. Open requests keep the settings and
+    /// the balancer under which they were admitted, until the last of them ends. The new balancer
+    /// starts with the current endpoint list, as at process start.
     pub fn retune(self: &Rc<Self>, settings: Settings) {
         self.discovery.set(settings.discovery);
-        let tuning = {
+        let settings_version = {
             let mut core = self.core.borrow_mut();
-            core.retire();
-            if core.balancers.len() >= TUNINGS {
+            core.drop_idle_balancers();
+            if core.balancers.len() >= MAX_BALANCERS {
                 core.pending = Some(settings);
                 return;
             }
-            let tuning = core.balancers.back().map_or(0, |(n, _)| n + 1);
-            let seed = core.seed ^ u64::from(tuning).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-            core.balancers.push_back((tuning, Balancer::new(settings, seed, self.clock.now())));
-            tuning
+            let settings_version = core.balancers.back().map_or(0, |(n, _)| n + 1);
+            let seed = core.seed ^ u64::from(settings_version).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+            core.balancers.push_back((settings_version, Balancer::new(settings, seed, self.clock.now())));
+            settings_version
         };
-        let endpoints = self.core.borrow().group.all();
-        self.feed_to(Some(tuning), Event::Endpoints { kind: ListKind::Full, entries: &endpoints });
+        let endpoints = self.core.borrow().endpoint_list.balancer_endpoints();
+        self.feed_to(
+            Some(settings_version),
+            Event::Endpoints { kind: ListKind::Full, entries: &endpoints },
+        );
     }
 
-    /// Feeds one event to the balancer that it concerns (to all, for what concerns targets).
+    /// Feeds one event to the balancer that it concerns. Events about endpoints go to all
+    /// balancers.
     fn feed(self: &Rc<Self>, event: Event<'_>) {
-        let tuning = {
+        let settings_version = {
             let core = self.core.borrow();
             match &event {
                 Event::Endpoints { .. } | Event::DiscoveryFailed => None,
-                Event::Arrived(call) => core.flows.get(&call.id).map(|e| e.tuning),
-                Event::Finished { id, .. } | Event::StreamStarted { id } | Event::Departed { id } => {
-                    Some(core.flows.get(id).map_or_else(|| core.newest(), |e| e.tuning))
-                }
-                Event::Timer { .. } | Event::ProbeFinished { .. } => Some(core.newest()),
+                Event::Arrived(call) => core.requests.get(&call.id).map(|e| e.settings_version),
+                Event::Finished { id, .. } | Event::StreamStarted { id } | Event::Departed { id } => Some(
+                    core.requests.get(id).map_or_else(|| core.current_version(), |e| e.settings_version),
+                ),
+                Event::Timer { .. } | Event::ProbeFinished { .. } => Some(core.current_version()),
             }
         };
-        self.feed_to(tuning, event);
+        self.feed_to(settings_version, event);
         let pending = {
             let mut core = self.core.borrow_mut();
-            core.retire();
-            let room = core.balancers.len() < TUNINGS;
+            core.drop_idle_balancers();
+            let room = core.balancers.len() < MAX_BALANCERS;
             if room { core.pending.take() } else { None }
         };
         if let Some(settings) = pending {
@@ -194,14 +209,15 @@
         }
     }
 
-    /// Feeds one event to one balancer, or to each, and carries out what follows from it. Carrying out only
-    /// queues steps and starts timers, so it never comes back here while the core is borrowed.
-    fn feed_to(self: &Rc<Self>, tuning: Option<u32>, event: Event<'_>) {
+    /// Feeds one event to one balancer, or to all, and executes the resulting actions. Executing an
+    /// action only queues decisions and starts timers, so this function is not re-entered while the
+    /// core is borrowed.
+    fn feed_to(self: &Rc<Self>, settings_version: Option<u32>, event: Event<'_>) {
         let mut core = self.core.borrow_mut();
-        // Balancers come and go only at a reload and after a feed, never during one.
+        // Balancers are added and removed only by a reload or after a feed, never during one.
         for at in 0..core.balancers.len() {
             let n = core.balancers[at].0;
-            if tuning.is_some_and(|t| t != n) {
+            if settings_version.is_some_and(|t| t != n) {
                 continue;
             }
             let mut follow_ups = VecDeque::new();
@@ -212,7 +228,7 @@
             loop {
                 for action in actions.drain(..) {
                     tracing::trace!(?action);
-                    follow_ups.extend(self.carry_out(&mut core, n, action));
+                    follow_ups.extend(self.execute(&mut core, n, action));
                 }
                 let Some(event) = follow_ups.pop_front() else { break };
                 tracing::trace!(?event);
@@ -222,25 +238,30 @@
         }
     }
 
-    fn answer(&self, core: &mut Core, id: RequestId, response: FixedResponse) {
-        if route::answer(core, id, response) {
-            self.counts.answer(response);
+    fn reply_locally(&self, core: &mut Core, id: RequestId, response: FixedResponse) {
+        if route::queue_reply(core, id, response) {
+            self.counts.count_reply(response);
         }
     }
 
-    fn carry_out(self: &Rc<Self>, core: &mut Core, tuning: u32, action: Action) -> Option<Event<'static>> {
+    fn execute(
+        self: &Rc<Self>,
+        core: &mut Core,
+        settings_version: u32,
+        action: Action,
+    ) -> Option<Event<'static>> {
         match action {
             Action::Send { id, endpoint, until } => {
-                return route::attempt(self, core, id, endpoint, until);
+                return route::queue_attempt(self, core, id, endpoint, until);
             }
             Action::Refuse { id, retry_after } => {
-                self.answer(core, id, FixedResponse::Refused { retry_after });
+                self.reply_locally(core, id, FixedResponse::Refused { retry_after });
             }
-            Action::Fail { id } => self.answer(core, id, FixedResponse::Failed),
+            Action::Fail { id } => self.reply_locally(core, id, FixedResponse::Failed),
             Action::Cancel { id, attempt } => {
-                let entry = core.flows.get(&id);
-                if let Some((halt, _)) = entry.and_then(|e| e.attempts.get(usize::from(attempt))) {
-                    let _ = halt.try_send(Halt::Withdrawn);
+                let entry = core.requests.get(&id);
+                if let Some((abort, _)) = entry.and_then(|e| e.attempts.get(usize::from(attempt))) {
+                    let _ = abort.try_send(Halt::Withdrawn);
                 }
             }
             Action::SetTimer { after, token } => {
@@ -248,7 +269,7 @@
                 let timer = async move {
                     Timer::after(after).await;
                     if let Some(sidecar) = sidecar.upgrade() {
-                        sidecar.feed_to(Some(tuning), Event::Timer { token });
+                        sidecar.feed_to(Some(settings_version), Event::Timer { token });
                     }
                 };
                 self.executor.spawn(timer).detach();
@@ -256,7 +277,7 @@
             Action::Subscribe => {
                 let _ = self.subscribe.try_send(());
             }
-            // The platform forbids probes and gives them no form on the socket.
+            // The deployment forbids probes, and the protocol defines no message for them.
             Action::Probe { .. } => {}
         }
         None
@@ -264,33 +285,34 @@
 }
 
 impl Core {
-    /// Halts each send that has not begun to a target that wants nothing new.
-    fn halt_unwanted(&self) {
-        for entry in self.flows.values() {
-            if let Some((halt, target)) = entry.attempts.last()
-                && !self.group.takes_work(*target)
+    /// Aborts each attempt that has not started if its endpoint accepts no new attempts.
+    fn abort_unwanted(&self) {
+        for entry in self.requests.values() {
+            if let Some((abort, target)) = entry.attempts.last()
+                && !self.endpoint_list.takes_work(*target)
             {
-                let _ = halt.try_send(Halt::TargetLeft);
+                let _ = abort.try_send(Halt::TargetLeft);
             }
         }
     }
 
-    /// The balancer of those settings; the newest where they are gone.
-    fn balancer(&mut self, tuning: u32) -> &mut Balancer {
-        let at = self.balancers.iter().position(|(n, _)| *n == tuning);
+    /// The balancer for these settings, or the newest one if it has been dropped.
+    fn balancer(&mut self, settings_version: u32) -> &mut Balancer {
+        let at = self.balancers.iter().position(|(n, _)| *n == settings_version);
         let last = self.balancers.len() - 1;
         &mut self.balancers[at.unwrap_or(last)].1
     }
 
-    /// The number of the settings in force.
-    fn newest(&self) -> u32 {
+    /// Version of the current settings.
+    fn current_version(&self) -> u32 {
         self.balancers.back().map_or(0, |(n, _)| *n)
     }
 
-    /// Drops the balancers of earlier settings that hold no open flow.
-    fn retire(&mut self) {
-        let newest = self.newest();
-        let flows = &self.flows;
-        self.balancers.retain(|(n, _)| *n == newest || flows.values().any(|e| e.tuning == *n));
+    /// Drops the balancers for earlier settings that own no open request.
+    fn drop_idle_balancers(&mut self) {
+        let current_version = self.current_version();
+        let requests = &self.requests;
+        self.balancers
+            .retain(|(n, _)| *n == current_version || requests.values().any(|e| e.settings_version == *n));
     }
 }
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -1,74 +1,77 @@
-//! The list as the core holds it: what discovery tells, what is taken out by hand, and the lease under which all of it may
-//! be used.
+//! The endpoint list in the core: updates from discovery, endpoints taken offline by an operator,
+//! and the lease that limits how long the list may be used.
 
-use super::{Group, Listed, NotListed, PollEvent, Sidecar};
+use super::{EndpointList, Listed, PollEvent, Sidecar, UnknownEndpoint};
 use async_io::Timer;
 use cottonpoint_decide::*;
 use futures_lite::future;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// The most that an answer's way from discovery may take: an answer that has begun must be whole within this time.
-pub const ANSWER_WAY: Duration = Duration::from_millis(1100);
+/// Longest time that an answer from discovery may be on its way: once it has begun, it must be
+/// complete within this time.
+pub const MAX_ANSWER_TRANSIT: Duration = Duration::from_millis(1100);
 
 impl Sidecar {
-    /// Takes the list that a process is started with: it is as old as the process.
+    /// Applies the list that the process is started with, which is as old as the process.
     pub fn listed(self: &Rc<Self>, kind: ListKind, entries: &[Listed]) {
         let endpoints = {
             let mut core = self.core.borrow_mut();
-            let endpoints = core.group.update(kind, entries, &self.clock);
-            core.halt_unwanted();
+            let endpoints = core.endpoint_list.update(kind, entries, &self.clock);
+            core.abort_unwanted();
             endpoints
         };
-        self.counts.list(true);
+        self.counts.count_list(true);
         self.feed(Event::Endpoints { kind, entries: &endpoints });
     }
 
-    /// Takes discovery's answer to a poll that began at that time, and acts on it at once: a send that has not begun to a
-    /// target that wants nothing new is halted.
+    /// Applies discovery's answer to a poll that began at `begun`, and acts on it at once: an
+    /// attempt that has not started is aborted if its endpoint accepts no new attempts.
     pub fn answered(self: &Rc<Self>, kind: ListKind, entries: &[Listed], begun: Time) {
         let now = self.clock.now();
         let as_of = match self.lease.borrow().is_pushed() {
             true => now,
-            false => begun.max(now - ANSWER_WAY),
+            false => begun.max(now - MAX_ANSWER_TRANSIT),
         };
         self.lease.borrow_mut().observe(now, PollEvent::Answered { as_of });
         let renewed = self.lease.borrow().is_valid(now) && self.set_suspended(false);
         self.listed(kind, entries);
         if renewed {
-            self.tell_suspension();
+            self.feed_suspension();
         }
         let _ = self.lease_changed.0.try_send(());
     }
 
-    /// Takes how a poll began or failed.
+    /// Records how a poll began or failed.
     pub fn polled(self: &Rc<Self>, event: PollEvent) {
         self.lease.borrow_mut().observe(self.clock.now(), event);
         self.check_lease();
         let _ = self.lease_changed.0.try_send(());
     }
 
-    /// Tells the balancer that the list could not be had.
+    /// Tells the balancer that the list could not be obtained.
     pub fn list_failed(self: &Rc<Self>) {
-        self.counts.list(false);
+        self.counts.count_list(false);
         self.feed(Event::DiscoveryFailed);
     }
 
-    /// How long something new may go to an endpoint once it has left, by the settings.
+    /// Sets how long new attempts may still go to an endpoint after it starts draining.
     pub fn set_drain_grace(self: &Rc<Self>, grace: Duration) {
         let discovery = self.discovery.get();
-        self.lease.borrow_mut().set_terms(discovery, grace);
+        self.lease.borrow_mut().configure(discovery, grace);
         self.check_lease();
         let _ = self.lease_changed.0.try_send(());
     }
 
-    /// How long ago the list was known to be complete (`None`: never), and for how long it may still be used.
+    /// Time since the list was known to be complete (`None`: never), and time left until the lease
+    /// expires.
     pub fn list_age(&self) -> (Option<Duration>, Duration) {
         let (now, lease) = (self.clock.now(), self.lease.borrow());
         (lease.age(now), lease.expires_at(now).since(now))
     }
 
-    /// How soon discovery is to be asked at first, by the settings; `None` where an agent pushes the list.
+    /// Time within which the settings want discovery to be polled first; `None` if an agent pushes
+    /// the list.
     pub fn ask_within(&self) -> Option<Duration> {
         match self.discovery.get() {
             Discovery::OnRequest { ask_within } => Some(ask_within),
@@ -76,22 +79,22 @@
         }
     }
 
-    /// Whether nothing new is sent since the list could not be confirmed.
+    /// Whether new attempts are suspended because the list could not be confirmed.
     pub fn is_suspended(&self) -> bool {
-        self.core.borrow().group.is_suspended()
+        self.core.borrow().endpoint_list.is_suspended()
     }
 
-    /// Begins or ends the suspension of all endpoints, as the lease says now.
+    /// Begins or ends the suspension of all endpoints according to the lease.
     fn check_lease(self: &Rc<Self>) {
         let valid = self.lease.borrow().is_valid(self.clock.now());
         if self.set_suspended(!valid) {
-            self.tell_suspension();
+            self.feed_suspension();
         }
     }
 
-    /// Whether that is a change.
+    /// Returns whether that is a change.
     fn set_suspended(&self, suspended: bool) -> bool {
-        let changed = self.core.borrow_mut().group.set_suspended(suspended);
+        let changed = self.core.borrow_mut().endpoint_list.set_suspended(suspended);
         if changed {
             let (age, left) = self.list_age();
             let (age_ms, left_ms) = (age.map(|age| age.as_millis() as u64), left.as_millis() as u64);
@@ -102,33 +105,39 @@
                     age_ms,
                     polls_answered,
                     polls_failed,
-                    "the list has expired: nothing new is sent"
+                    "lease on the endpoint list expired; new attempts are suspended"
                 );
             } else {
-                tracing::info!(age_ms, left_ms, polls_answered, polls_failed, "the list may be used again");
+                tracing::info!(
+                    age_ms,
+                    left_ms,
+                    polls_answered,
+                    polls_failed,
+                    "lease on the endpoint list renewed; new attempts are sent again"
+                );
             }
         }
         changed
     }
 
-    fn tell_suspension(self: &Rc<Self>) {
-        let endpoints = self.core.borrow().group.all();
+    fn feed_suspension(self: &Rc<Self>) {
+        let endpoints = self.core.borrow().endpoint_list.balancer_endpoints();
         self.feed(Event::Endpoints { kind: ListKind::Delta, entries: &endpoints });
     }
 
-    /// Ends the use of the list when its lease runs out, for as long as the sidecar lives.
+    /// Suspends the use of the list when its lease expires, for as long as the sidecar exists.
     pub(super) async fn follow_lease(sidecar: Weak<Sidecar>) {
         loop {
             let Some((next, changed)) = sidecar.upgrade().map(|s| s.next_lease_change()) else { return };
-            let due = async {
+            let expiry = async {
                 match next {
                     Some(next) => drop(Timer::at(next).await),
                     None => future::pending().await,
                 }
                 false
             };
-            let closed = future::or(async { changed.recv().await.is_err() }, due);
-            if closed.await {
+            let channel_closed = future::or(async { changed.recv().await.is_err() }, expiry);
+            if channel_closed.await {
                 return;
             }
             if let Some(sidecar) = sidecar.upgrade() {
@@ -137,7 +146,7 @@
         }
     }
 
-    /// When the lease has to be looked at again, and what tells of an earlier change of it.
+    /// When the lease has to be checked next, and the channel that signals an earlier change.
     fn next_lease_change(&self) -> (Option<std::time::Instant>, async_channel::Receiver<()>) {
         let next = self.lease.borrow().next_change(self.clock.now());
         (next.map(|next| self.clock.instant(next)), self.lease_changed.1.clone())
@@ -145,40 +154,42 @@
 }
 
 impl Sidecar {
-    /// Targets that are listed and take new work.
+    /// Number of listed endpoints that accept new attempts.
     pub fn targets_that_take_work(&self) -> usize {
-        self.core.borrow().group.that_take_work()
+        self.core.borrow().endpoint_list.available_count()
     }
 
-    /// Whether the list names any target, of whatever lifecycle.
+    /// Whether the list contains any endpoint, in whatever state.
     pub fn has_targets(&self) -> bool {
-        !self.core.borrow().group.is_empty()
+        !self.core.borrow().endpoint_list.is_empty()
     }
 
-    /// Whether a target is listed and takes new work.
+    /// Whether an endpoint is listed and accepts new attempts.
     pub fn takes_work(&self, target: EndpointId) -> bool {
-        self.core.borrow().group.takes_work(target)
+        self.core.borrow().endpoint_list.takes_work(target)
     }
 
-    /// Takes a target out by hand (`out`), or puts it back: nothing new goes to a target taken out, and a send
-    /// to it that has not begun is halted. The balancer hears of it as of a drain and of a return.
-    pub fn set_out(self: &Rc<Self>, id: EndpointId, out: bool) -> Result<(), NotListed> {
-        self.change_out(|group| group.set_out(id, out))
+    /// Takes an endpoint offline (`offline`) or puts it back online. An offline endpoint gets no
+    /// new attempts, and an attempt that has not started is aborted. The balancer sees a drain or a
+    /// return of the endpoint.
+    pub fn set_out(self: &Rc<Self>, id: EndpointId, out: bool) -> Result<(), UnknownEndpoint> {
+        self.change_offline(|list| list.set_out(id, out))
     }
 
-    /// Takes out a target that an earlier process of this sidecar had taken out, whether listed or not.
+    /// Takes an endpoint offline that an earlier process of this sidecar had taken offline, whether
+    /// listed or not.
     pub fn restore_out(self: &Rc<Self>, id: EndpointId) {
-        let _ = self.change_out(|group| Ok(group.restore_out(id)));
+        let _ = self.change_offline(|list| Ok(list.restore_out(id)));
     }
 
-    fn change_out(
+    fn change_offline(
         self: &Rc<Self>,
-        change: impl FnOnce(&mut Group) -> Result<Option<Endpoint>, NotListed>,
-    ) -> Result<(), NotListed> {
+        change: impl FnOnce(&mut EndpointList) -> Result<Option<Endpoint>, UnknownEndpoint>,
+    ) -> Result<(), UnknownEndpoint> {
         let endpoint = {
             let mut core = self.core.borrow_mut();
-            let endpoint = change(&mut core.group)?;
-            core.halt_unwanted();
+            let endpoint = change(&mut core.endpoint_list)?;
+            core.abort_unwanted();
             endpoint
         };
         if let Some(endpoint) = endpoint {
@@ -187,14 +198,14 @@
         Ok(())
     }
 
-    /// The targets taken out by hand.
+    /// The endpoints taken offline by an operator.
     pub fn taken_out(&self) -> Vec<EndpointId> {
-        self.core.borrow().group.taken_out().collect()
+        self.core.borrow().endpoint_list.taken_out().collect()
     }
 
-    /// Targets that the list names, and of them those that get nothing new.
+    /// Number of listed endpoints, and of those among them that get no new attempts.
     pub fn rotation(&self) -> (usize, usize) {
         let core = self.core.borrow();
-        (core.group.listed(), core.group.out_of_rotation())
+        (core.endpoint_list.len(), core.endpoint_list.out_of_rotation())
     }
 }
--- a/crates/core/src/targets.rs
+++ b/crates/core/src/targets.rs
@@ -1,4 +1,4 @@
-//! The target group: who is in it, by identity, and where each target listens.
+//! The endpoint list: which endpoints there are, by identity, and where each of them listens.
 
 use super::{Clock, EndpointStanding};
 use cottonpoint_decide::*;
@@ -6,131 +6,133 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A target as an attempt needs it.
+/// An endpoint as an attempt needs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Its identity.
+    /// Identity of the endpoint.
     pub id: EndpointId,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
 }
 
-/// What the list says of a target's life.
+/// Life-cycle state of an endpoint according to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// Takes work.
+    /// Accepts new attempts.
     Active,
-    /// Finishes what it has and wants nothing new.
+    /// Draining: finishes the requests that it has and accepts no new attempts.
     Leaving,
-    /// Removed.
+    /// Removed from the list.
     Left,
 }
 
-/// One line of the list.
+/// One record of the endpoint list, as discovery sent it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listed {
-    /// Its identity.
+    /// Identity of the endpoint.
     pub id: EndpointId,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Where it is.
+    /// Zone that it runs in.
     pub zone: ZoneId,
-    /// Its cell.
+    /// Cell that it runs in.
     pub cell: CellId,
-    /// Its machine kind.
+    /// Machine kind that it runs on.
     pub kind: KindId,
-    /// Its lifecycle.
+    /// Life-cycle state.
     pub lifecycle: Lifecycle,
-    /// When its process last started, as Unix time in milliseconds by the platform's clock; 0: long ago.
+    /// Unix time in milliseconds at which its process last started, by the deployment's clock; 0
+    /// means long ago.
     pub started_at_ms: u64,
 }
 
-/// A target as listed, and when it started by this process's clock.
+/// A record of the list with the endpoint's start time by this process's clock.
 #[derive(Clone, Debug)]
-struct Member {
-    listed: Listed,
-    /// `None`: long ago. The same stamp always gives the same time: the balancer takes any other for a restart.
+struct ListEntry {
+    record: Listed,
+    /// `None` means long ago. The same timestamp must always give the same time, because the
+    /// balancer takes any other for a restart.
     started: Option<Time>,
 }
 
-/// The identity of a target by its name, the same at every sidecar: the balancer orders targets by it, so
-/// that sidecars spread over them (XXH3, 64 bits).
+/// Identity of an endpoint, derived from its name (XXH3, 64 bits). It is the same in every sidecar:
+/// the balancer orders endpoints by it, so that sidecars spread over them.
 pub fn target_id(name: &str) -> EndpointId {
     EndpointId(xxh3_64(name.as_bytes()))
 }
 
-/// Identities of targets ever listed that are remembered, so that a call to take out one never listed can be
-/// told no; past this many the oldest half is forgotten. Eight times the largest list of the protocol page.
-const REMEMBERED: usize = 4096;
+/// Maximum number of identities remembered from earlier lists, so that an operator's command for an
+/// endpoint that was never listed can be rejected. Beyond it the oldest half is forgotten. Eight
+/// times the largest list of the protocol specification.
+const MAX_SEEN: usize = 4096;
 
-/// Why a target cannot be taken out or put back by hand.
+/// Why an endpoint cannot be taken offline or put back online.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotListed {
-    /// No list ever named it.
-    Never,
+pub enum UnknownEndpoint {
+    /// It was never on the list.
+    NeverListed,
 }
 
-/// The target group as last told, and the targets taken out by hand: the list says who is there, the
-/// operator who of them is left alone. A target taken out stays out, whatever the list says, until it is put
-/// back.
+/// The latest endpoint list, and the endpoints that an operator has taken offline. An endpoint
+/// taken offline stays offline, whatever the list says, until the operator puts it back.
 #[derive(Default)]
-pub struct Group {
-    targets: HashMap<EndpointId, Member>,
-    /// The list may not be used: all targets count as leaving for the balancer.
+pub struct EndpointList {
+    by_id: HashMap<EndpointId, ListEntry>,
+    /// The list may not be used: the balancer sees all endpoints as draining.
     suspended: bool,
-    out: HashSet<EndpointId>,
-    ever: VecDeque<EndpointId>,
-    known: HashSet<EndpointId>,
+    offline: HashSet<EndpointId>,
+    seen_order: VecDeque<EndpointId>,
+    seen: HashSet<EndpointId>,
 }
 
-impl Group {
-    /// Whether it names no target.
+impl EndpointList {
+    /// Whether the list is empty.
     pub fn is_empty(&self) -> bool {
-        self.targets.is_empty()
+        self.by_id.is_empty()
     }
 
-    /// Whether a target may be sent new work.
+    /// Whether an endpoint accepts new attempts.
     pub fn takes_work(&self, id: EndpointId) -> bool {
         self.lifecycle(id) == Some(Lifecycle::Active)
     }
 
-    /// Targets that may be sent new work.
-    pub fn that_take_work(&self) -> usize {
-        self.targets.keys().filter(|id| self.takes_work(**id)).count()
+    /// Number of endpoints that accept new attempts.
+    pub fn available_count(&self) -> usize {
+        self.by_id.keys().filter(|id| self.takes_work(**id)).count()
     }
 
-    /// Targets that the list names.
-    pub fn listed(&self) -> usize {
-        self.targets.len()
+    /// Number of endpoints on the list.
+    pub fn len(&self) -> usize {
+        self.by_id.len()
     }
 
-    /// Listed targets that get nothing new: taken out by hand, leaving by the list's word, or all while the list may not be
-    /// used.
+    /// Number of listed endpoints that get no new attempts: taken offline, draining according to
+    /// the list, or all of them while the list may not be used.
     pub fn out_of_rotation(&self) -> usize {
-        if self.suspended { self.targets.len() } else { self.targets.len() - self.that_take_work() }
+        if self.suspended { self.by_id.len() } else { self.by_id.len() - self.available_count() }
     }
 
-    /// The targets taken out by hand, listed or not.
+    /// The endpoints taken offline, listed or not.
     pub fn taken_out(&self) -> impl Iterator<Item = EndpointId> + '_ {
-        self.out.iter().copied()
+        self.offline.iter().copied()
     }
 
-    /// The target of that identity.
+    /// Identity and address of a listed endpoint.
     pub fn find(&self, id: EndpointId) -> Option<Target> {
-        self.targets.get(&id).map(|t| Target { id, address: t.listed.address })
+        self.by_id.get(&id).map(|t| Target { id, address: t.record.address })
     }
 
-    /// What holds for a target: the list's word, unless it is taken out by hand.
+    /// Effective state of an endpoint: that of the list, unless it has been taken offline.
     fn lifecycle(&self, id: EndpointId) -> Option<Lifecycle> {
-        let listed = self.targets.get(&id)?.listed.lifecycle;
-        Some(if listed == Lifecycle::Active && self.out.contains(&id) {
+        let listed_state = self.by_id.get(&id)?.record.lifecycle;
+        Some(if listed_state == Lifecycle::Active && self.offline.contains(&id) {
             Lifecycle::Leaving
         } else {
-            listed
+            listed_state
         })
     }
 
-    /// What is known of a target.
+    /// Status of an endpoint as the guard sees it.
     pub fn standing(&self, id: EndpointId) -> EndpointStanding {
         match self.lifecycle(id) {
             Some(Lifecycle::Active) => EndpointStanding::Active,
@@ -139,9 +141,9 @@
         }
     }
 
-    /// A target in the balancer's terms, as it holds now.
-    fn endpoint(&self, member: &Member) -> Endpoint {
-        let e = &member.listed;
+    /// Converts an entry to the balancer's representation, with its effective state.
+    fn balancer_endpoint(&self, entry: &ListEntry) -> Endpoint {
+        let e = &entry.record;
         let state = match self.lifecycle(e.id).unwrap_or(Lifecycle::Left) {
             Lifecycle::Active if self.suspended => EndpointState::Draining,
             Lifecycle::Active => EndpointState::Ready,
@@ -149,7 +151,7 @@
             Lifecycle::Left => EndpointState::Gone,
         };
         let (id, zone, cell, kind) = (e.id, e.zone, e.cell, e.kind);
-        Endpoint { id, zone, cell, kind, state, started: member.started }
+        Endpoint { id, zone, cell, kind, state, started: entry.started }
     }
 
     /// Whether the list may not be used.
@@ -157,75 +159,78 @@
         self.suspended
     }
 
-    /// Suspends all targets, or ends that; whether it is a change.
+    /// Suspends all endpoints or ends the suspension. Returns whether that is a change.
     pub fn set_suspended(&mut self, suspended: bool) -> bool {
         std::mem::replace(&mut self.suspended, suspended) != suspended
     }
 
-    fn remember(&mut self, id: EndpointId) {
-        if self.known.insert(id) {
-            self.ever.push_back(id);
-            if self.ever.len() > REMEMBERED {
-                for old in self.ever.drain(..REMEMBERED / 2) {
-                    self.known.remove(&old);
+    fn record_seen(&mut self, id: EndpointId) {
+        if self.seen.insert(id) {
+            self.seen_order.push_back(id);
+            if self.seen_order.len() > MAX_SEEN {
+                for old in self.seen_order.drain(..MAX_SEEN / 2) {
+                    self.seen.remove(&old);
                 }
             }
         }
     }
 
-    /// Every listed target in the balancer's terms, as it holds now: for a balancer that begins.
-    pub fn all(&self) -> Vec<Endpoint> {
-        self.targets.values().map(|e| self.endpoint(e)).collect()
+    /// All listed endpoints in the balancer's representation, to initialise a new balancer.
+    pub fn balancer_endpoints(&self) -> Vec<Endpoint> {
+        self.by_id.values().map(|e| self.balancer_endpoint(e)).collect()
     }
 
-    /// Takes out a target that an earlier process of this sidecar had taken out, listed or not.
+    /// Takes an endpoint offline that an earlier process of this sidecar had taken offline, listed
+    /// or not.
     pub fn restore_out(&mut self, id: EndpointId) -> Option<Endpoint> {
-        self.remember(id);
+        self.record_seen(id);
         self.set_out(id, true).ok().flatten()
     }
 
-    /// Takes a target out by hand, or puts it back. What changes for the balancer is returned: nothing when
-    /// the target is not listed now, or was already so. A target that no list ever named is refused; one taken
-    /// out is remembered whatever the bound.
-    pub fn set_out(&mut self, id: EndpointId, out: bool) -> Result<Option<Endpoint>, NotListed> {
-        if !self.known.contains(&id) && !self.out.contains(&id) {
-            return Err(NotListed::Never);
+    /// Takes an endpoint offline or puts it back online. Returns the change for the balancer:
+    /// `None` if the endpoint is not on the list now, or was in that state already. Fails for an
+    /// endpoint that was never listed; one that is offline is known even after its identity was
+    /// forgotten.
+    pub fn set_out(&mut self, id: EndpointId, offline: bool) -> Result<Option<Endpoint>, UnknownEndpoint> {
+        if !self.seen.contains(&id) && !self.offline.contains(&id) {
+            return Err(UnknownEndpoint::NeverListed);
         }
-        let changed = if out { self.out.insert(id) } else { self.out.remove(&id) };
-        Ok(self.targets.get(&id).filter(|_| changed).map(|e| self.endpoint(e)))
+        let changed = if offline { self.offline.insert(id) } else { self.offline.remove(&id) };
+        Ok(self.by_id.get(&id).filter(|_| changed).map(|e| self.balancer_endpoint(e)))
     }
 
-    /// Takes a change or a whole list, and puts it in the balancer's terms.
+    /// Applies a change or a complete list. Returns the entries in the balancer's representation.
     pub fn update(&mut self, kind: ListKind, entries: &[Listed], clock: &Clock) -> Vec<Endpoint> {
-        let before = match kind {
-            ListKind::Full => std::mem::take(&mut self.targets),
+        let old_entries = match kind {
+            ListKind::Full => std::mem::take(&mut self.by_id),
             _ => HashMap::new(),
         };
         let mut endpoints = Vec::with_capacity(entries.len());
-        for listed in entries {
-            self.remember(listed.id);
-            let known = self.targets.get(&listed.id).or_else(|| before.get(&listed.id));
-            let same = known.filter(|known| known.listed.started_at_ms == listed.started_at_ms);
-            let started = same.map_or_else(|| clock.place_start(listed.started_at_ms), |same| same.started);
-            let standing_before = known.map(|known| known.listed.lifecycle);
-            if standing_before != Some(listed.lifecycle) {
-                let endpoint = format_args!("{:016x}", listed.id.0).to_string();
-                tracing::debug!(endpoint, from = ?standing_before, to = ?listed.lifecycle, "endpoint changes");
+        for record in entries {
+            self.record_seen(record.id);
+            let existing = self.by_id.get(&record.id).or_else(|| old_entries.get(&record.id));
+            let same = existing.filter(|existing| existing.record.started_at_ms == record.started_at_ms);
+            let started =
+                same.map_or_else(|| clock.local_start_time(record.started_at_ms), |same| same.started);
+            let previous = existing.map(|existing| existing.record.lifecycle);
+            if previous != Some(record.lifecycle) {
+                let endpoint = format_args!("{:016x}", record.id.0).to_string();
+                tracing::debug!(endpoint, from = ?previous, to = ?record.lifecycle, "endpoint life-cycle state changed");
             }
-            let member = Member { listed: listed.clone(), started };
-            endpoints.push(self.replace(member));
+            let entry = ListEntry { record: record.clone(), started };
+            endpoints.push(self.upsert(entry));
         }
         endpoints
     }
 
-    /// Puts a target in its place, or removes it, and says what it is to the balancer.
-    fn replace(&mut self, member: Member) -> Endpoint {
-        let id = member.listed.id;
-        if member.listed.lifecycle == Lifecycle::Left {
-            self.targets.remove(&id);
-            return self.endpoint(&member);
+    /// Inserts, replaces or removes an entry. Returns it in the balancer's representation.
+    fn upsert(&mut self, entry: ListEntry) -> Endpoint {
+        let id = entry.record.id;
+        if entry.record.lifecycle == Lifecycle::Left {
+            self.by_id.remove(&id);
+            return self.balancer_endpoint(&entry);
         }
-        self.targets.insert(id, member.clone());
-        self.endpoint(&member)
+        self.by_id.insert(id, entry.clone());
+        self.balancer_endpoint(&entry)
     }
 }
