--- a/crates/codec/src/http.rs
+++ b/crates/codec/src/http.rs
@@ -1,34 +1,35 @@
-//! The little of HTTP/1.1 that all peers share: heads, framing, bodies.
+//! The part of HTTP/1.1 that clients, endpoints and discovery share: heads, framing, bodies.
 
 use crate::buffer::Buffer;
 use futures_lite::AsyncRead;
 use std::fmt;
 use std::io;
 
-/// A head longer than this is not read on.
+/// Maximum length of a head in bytes.
 pub const HEAD_LIMIT: usize = 16 << 10;
-/// A body of a request or an answer holds at most this.
+/// Maximum length of a request's or an answer's body in bytes.
 pub const BODY_LIMIT: usize = 64 << 10;
 const HEADERS_LIMIT: usize = 100;
-/// A method longer than this is none.
+/// Maximum length of a method in bytes.
 const METHOD_LIMIT: usize = 24;
-/// Interim answers before the final one, at most.
+/// Maximum number of interim answers before the final one.
 pub const INTERIM_LIMIT: usize = 16;
 
 /// Why a message could not be read.
 #[derive(Debug)]
 pub enum Fault {
-    /// The stream ended, or the other side broke it.
+    /// The stream ended, or the peer closed or reset it.
     Broken,
-    /// The connection failed here or on its way (ETIMEDOUT, ENOBUFS): the other side said nothing.
+    /// The connection failed on this machine or on the network path (ETIMEDOUT, ENOBUFS), not at
+    /// the peer.
     ConnectionFailed,
-    /// It is not HTTP as this program speaks it.
+    /// It is not valid HTTP, or not of the subset supported here. Names the faulty part.
     Malformed(&'static str),
-    /// Its head is too long.
+    /// The head is too long.
     HeadTooLong,
-    /// Its body is too long.
+    /// The body is too long.
     BodyTooLong,
-    /// It began and did not come to its end in time.
+    /// The message began and was not complete in time.
     Stalled,
 }
 
@@ -46,8 +47,8 @@
 }
 
 impl From<io::Error> for Fault {
-    fn from(why: io::Error) -> Fault {
-        match why.kind() {
+    fn from(error: io::Error) -> Fault {
+        match error.kind() {
             io::ErrorKind::ConnectionReset
             | io::ErrorKind::ConnectionAborted
             | io::ErrorKind::BrokenPipe
@@ -57,20 +58,20 @@
     }
 }
 
-/// What reading comes to.
+/// Result of reading a message.
 pub type Result<T> = std::result::Result<T, Fault>;
 
 /// The first line of a message and its headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Head {
-    /// The first line's three parts.
+    /// The first line, split into its three parts.
     pub line: [String; 3],
-    /// The headers as they came.
+    /// The headers in the order received.
     pub headers: Vec<(String, String)>,
 }
 
 impl Head {
-    /// The first header of that name.
+    /// The value of the first header of that name.
     pub fn get<'a>(&'a self, name: &'a str) -> Option<&'a str> {
         self.all(name).next()
     }
@@ -79,7 +80,8 @@
         self.headers.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
-    /// The only header of that name, if any; a second one makes the message ambiguous.
+    /// The value of the only header of that name, if any; a second one makes the message ambiguous
+    /// and is an error.
     pub fn only<'a>(&'a self, name: &'a str) -> Result<Option<&'a str>> {
         let mut all = self.all(name);
         match (all.next(), all.next()) {
@@ -88,31 +90,31 @@
         }
     }
 
-    /// Whether a header's comma-separated value holds a word.
+    /// Whether the comma-separated values of a header contain a token.
     pub fn has(&self, name: &str, word: &str) -> bool {
         self.all(name).flat_map(|v| v.split(',')).any(|w| w.trim().eq_ignore_ascii_case(word))
     }
 
-    /// Whether the connection outlives this message, by the version that the message states.
+    /// Whether the connection persists after this message, which states HTTP version `version`.
     pub fn keeps_alive(&self, version: &str) -> bool {
-        let old = version == "HTTP/1.0";
-        !self.has("connection", "close") && (!old || self.has("connection", "keep-alive"))
+        let is_http_1_0 = version == "HTTP/1.0";
+        !self.has("connection", "close") && (!is_http_1_0 || self.has("connection", "keep-alive"))
     }
 }
 
-/// How a body is framed.
+/// How the body of a message is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes.
+    /// A body of this many bytes.
     Length(usize),
-    /// Chunked.
+    /// Chunked transfer coding.
     Chunked,
-    /// To the end of the stream.
+    /// The body extends to the end of the stream.
     ToEnd,
 }
 
-/// The framing that the headers state; `otherwise` where they state none.
-pub fn framing(head: &Head, version: &str, otherwise: Framing) -> Result<Framing> {
+/// The framing that the headers state, or `default` if they state none.
+pub fn framing(head: &Head, version: &str, default: Framing) -> Result<Framing> {
     let mut coding = head.all("transfer-encoding");
     let mut length = None;
     for value in head.all("content-length") {
@@ -124,7 +126,7 @@
     }
     match (coding.next(), length) {
         (None, Some(n)) => Ok(Framing::Length(n)),
-        (None, None) => Ok(otherwise),
+        (None, None) => Ok(default),
         (Some(c), None) if c.eq_ignore_ascii_case("chunked") && coding.next().is_none() => match version {
             "HTTP/1.1" => Ok(Framing::Chunked),
             _ => Err(Fault::Malformed("transfer encoding")),
@@ -137,39 +139,39 @@
     b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b)
 }
 
-/// Whether these first bytes may begin a request.
+/// Whether a request may begin with these bytes.
 pub fn begins_request(bytes: &[u8]) -> bool {
     let method = bytes.split(|&b| b == b' ').next().unwrap_or_default();
     method.len() <= METHOD_LIMIT && method.iter().all(|&b| is_token(b))
 }
 
-/// Whether these first bytes may begin an answer.
+/// Whether an answer may begin with these bytes.
 pub fn begins_answer(bytes: &[u8]) -> bool {
     bytes.iter().zip(b"HTTP/1.").all(|(a, b)| a == b)
 }
 
-/// Reads a message's head, having waited for it; `None` where the stream ends before the first byte. What
-/// cannot begin one is not waited out. One empty line before it is passed over.
+/// Reads the head of a message; `None` if the stream ends before the first byte. Fails as soon as
+/// the bytes cannot begin such a message. One empty line before the message is skipped.
 pub async fn read_head(
     buffer: &mut Buffer,
     stream: &mut (impl AsyncRead + Unpin),
-    begins: fn(&[u8]) -> bool,
+    may_begin: fn(&[u8]) -> bool,
 ) -> Result<Option<Head>> {
-    let (mut seen, mut passed) = (0_usize, false);
+    let (mut searched, mut skipped_empty_line) = (0_usize, false);
     loop {
-        if !passed && buffer.filled().starts_with(b"\r\n") {
-            passed = true;
+        if !skipped_empty_line && buffer.filled().starts_with(b"\r\n") {
+            skipped_empty_line = true;
             buffer.consume(2);
-            seen = 0;
+            searched = 0;
         }
         let filled = buffer.filled();
-        let empty_line = !passed && b"\r\n".starts_with(filled);
-        if !empty_line && !begins(filled) {
+        let empty_line = !skipped_empty_line && b"\r\n".starts_with(filled);
+        if !empty_line && !may_begin(filled) {
             return Err(Fault::Malformed("first line"));
         }
-        let from = seen.saturating_sub(3);
-        if let Some(at) = filled[from..].windows(4).position(|w| w == b"\r\n\r\n") {
-            let length = from + at;
+        let search_from = searched.saturating_sub(3);
+        if let Some(at) = filled[search_from..].windows(4).position(|w| w == b"\r\n\r\n") {
+            let length = search_from + at;
             if length > HEAD_LIMIT {
                 return Err(Fault::HeadTooLong);
             }
@@ -180,7 +182,7 @@
         if filled.len() > HEAD_LIMIT {
             return Err(Fault::HeadTooLong);
         }
-        seen = filled.len();
+        searched = filled.len();
         if buffer.fill(stream).await? == 0 {
             return if buffer.is_empty() { Ok(None) } else { Err(Fault::Broken) };
         }
@@ -199,8 +201,8 @@
     let mut headers = Vec::new();
     for line in lines {
         let Some((name, value)) = line.split_once(':') else { return Err(Fault::Malformed("header")) };
-        let odd = |b: u8| b < b' ' && b != b'\t' || b == 0x7f;
-        if name.is_empty() || !name.bytes().all(is_token) || value.bytes().any(odd) {
+        let is_control = |b: u8| b < b' ' && b != b'\t' || b == 0x7f;
+        if name.is_empty() || !name.bytes().all(is_token) || value.bytes().any(is_control) {
             return Err(Fault::Malformed("header"));
         }
         if headers.len() == HEADERS_LIMIT {
@@ -246,16 +248,16 @@
     limit: usize,
 ) -> Result<Vec<u8>> {
     let mut body = Vec::new();
-    // What is not body must not go on for ever either.
-    let mut spare = limit.max(HEAD_LIMIT);
+    // Bounds chunk headers and trailers, which would otherwise be unlimited.
+    let mut overhead_left = limit.max(HEAD_LIMIT);
     loop {
-        let line = read_line(buffer, stream, &mut spare).await?;
+        let line = read_line(buffer, stream, &mut overhead_left).await?;
         let size = line.split(';').next().unwrap_or_default().trim_end_matches([' ', '\t']);
         let hex = !size.is_empty() && size.len() <= 8 && size.bytes().all(|b| b.is_ascii_hexdigit());
         let size = usize::from_str_radix(size, 16).ok().filter(|_| hex);
         let size = size.ok_or(Fault::Malformed("chunk size"))?;
         if size == 0 {
-            while !read_line(buffer, stream, &mut spare).await?.is_empty() {}
+            while !read_line(buffer, stream, &mut overhead_left).await?.is_empty() {}
             return Ok(body);
         }
         if body.len() + size > limit {
@@ -274,19 +276,19 @@
 async fn read_line(
     buffer: &mut Buffer,
     stream: &mut (impl AsyncRead + Unpin),
-    spare: &mut usize,
+    overhead_left: &mut usize,
 ) -> Result<String> {
     loop {
         let end = buffer.filled().windows(2).position(|w| w == b"\r\n");
-        if end.unwrap_or(buffer.filled().len()) + 2 > (*spare).min(HEAD_LIMIT) {
+        if end.unwrap_or(buffer.filled().len()) + 2 > (*overhead_left).min(HEAD_LIMIT) {
             return Err(Fault::Malformed("line is too long"));
         }
         if let Some(at) = end {
-            *spare -= at + 2;
+            *overhead_left -= at + 2;
             let line = String::from_utf8_lossy(&buffer.filled()[..at]).into_owned();
             buffer.consume(at + 2);
-            let odd = |b: u8| b < b' ' && b != b'\t';
-            return if line.bytes().any(odd) { Err(Fault::Malformed("chunk")) } else { Ok(line) };
+            let is_control = |b: u8| b < b' ' && b != b'\t';
+            return if line.bytes().any(is_control) { Err(Fault::Malformed("chunk")) } else { Ok(line) };
         }
         if buffer.fill(stream).await? == 0 {
             return Err(Fault::Broken);
@@ -303,10 +305,10 @@
     Ok(())
 }
 
-/// A whole answer: its head, status and body, and whether the connection goes on.
+/// A complete answer: its head, status and body, and whether the connection persists.
 pub type Answer = (Head, u16, Vec<u8>, bool);
 
-/// Reads one answer whole; `None` for an interim one (RFC 9110, section 15.2).
+/// Reads one complete answer; `None` for an interim one (RFC 9110, section 15.2).
 pub async fn read_one_answer(
     buffer: &mut Buffer,
     stream: &mut (impl AsyncRead + Unpin),
@@ -327,11 +329,11 @@
         204 | 304 => Framing::Length(0),
         _ => framing(&head, version, Framing::ToEnd)?,
     };
-    let keep = framing != Framing::ToEnd && head.keeps_alive(version);
-    // Only a connection that is said to end can tell where a body ends that has no length.
+    let keep_alive = framing != Framing::ToEnd && head.keeps_alive(version);
+    // Only on a connection that is to be closed can the end of the stream delimit the body.
     if framing == Framing::ToEnd && head.keeps_alive(version) {
         return Err(Fault::Malformed("framing"));
     }
     let body = read_body(buffer, stream, framing, limit).await?;
-    Ok(Some((head, status, body, keep)))
+    Ok(Some((head, status, body, keep_alive)))
 }
--- a/crates/codec/src/lib.rs
+++ b/crates/codec/src/lib.rs
@@ -1,5 +1,6 @@
-//! Bytes to messages and back, one growing buffer per connection. Nothing here owns a socket or a timer: what
-//! reads is given any [`futures_lite::AsyncRead`], and how long to wait is up to the caller.
+//! Reads HTTP messages from bytes, with one growing buffer per connection. Nothing here owns a
+//! socket or a timer: functions that read take any [`futures_lite::AsyncRead`], and time limits are
+//! up to the caller.
 
 pub mod buffer;
 pub mod http;
--- a/crates/file/src/lib.rs
+++ b/crates/file/src/lib.rs
@@ -1,19 +1,19 @@
-//! TOML files that people write: what is wrong with one is said in a line that names the file, the line and the
-//! key. Reading stops at the first fault; nothing is half taken.
+//! Reads hand-written TOML files. An error names the file, the line and the key. Reading stops at
+//! the first error; nothing is applied in part.
 
 use serde::de::DeserializeOwned;
 use std::fmt;
 use std::fs;
 use std::path::Path;
 
-/// What is wrong with a file.
+/// An error in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The file's name.
+    /// Name of the file.
     pub file: String,
-    /// The line, from 1; 0 where none can be named.
+    /// Line number, from 1; 0 if unknown.
     pub line: usize,
-    /// The key's path; empty where none can be named.
+    /// Path of the key; empty if unknown.
     pub key: String,
     /// What is wrong, in one line.
     pub why: String,
@@ -35,7 +35,7 @@
 
 impl std::error::Error for Fault {}
 
-/// The text of a file, which knows where each key stands.
+/// The text of a TOML file, used to locate keys in error messages.
 #[derive(Clone, Debug)]
 pub struct Text {
     file: String,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// A text that stands in no file, or was read elsewhere; `file` names it in faults.
+    /// Wraps a text that is not read from a file, or was read elsewhere; `file` names it in errors.
     pub fn new(file: &str, text: &str) -> Text {
         Text { file: file.to_owned(), text: text.to_owned() }
     }
@@ -62,17 +62,17 @@
         &self.text
     }
 
-    /// Reads the text as a type; unknown keys are up to the type.
+    /// Deserialises the text; whether unknown keys are allowed is up to the type.
     pub fn read<T: DeserializeOwned>(&self) -> Result<T, Fault> {
         toml::from_str(&self.text).map_err(|e| {
             let span = e.span().unwrap_or_default();
             let key = self.key_on_line(span.start);
-            self.at(self.line_of(span.start), &key, e.message())
+            self.fault_at(self.line_of(span.start), &key, e.message())
         })
     }
 
-    /// A fault of a key, by its path; the line is that of the key or of the nearest table around it. Parts of
-    /// a path that are numbers count the tables of an array.
+    /// An error about the key at path `key`. Its line is that of the key, or of the nearest
+    /// enclosing table that exists. Path parts that are numbers index an array of tables.
     pub fn fault(&self, key: &str, why: impl fmt::Display) -> Fault {
         let line = toml_edit::Document::parse(self.text.as_str()).map_or(1, |document| {
             let mut item = document.as_item();
@@ -88,13 +88,14 @@
             }
             at.map_or(1, |span| self.line_of(span.start))
         });
-        self.at(line, key, why)
+        self.fault_at(line, key, why)
     }
 
-    /// The text with some keys set anew, each as a path and a TOML value; what is no TOML value is a string.
+    /// A copy of the text with some keys set, each given as a path and a TOML value; a value that
+    /// is not valid TOML is taken as a string.
     pub fn changed(&self, set: &[(String, String)]) -> Result<Text, Fault> {
         let mut document: toml_edit::DocumentMut =
-            self.text.parse().map_err(|e: toml_edit::TomlError| self.at(1, "", e.message()))?;
+            self.text.parse().map_err(|e: toml_edit::TomlError| self.fault_at(1, "", e.message()))?;
         for (key, value) in set {
             let value: toml_edit::Value =
                 value.parse().unwrap_or_else(|_: toml_edit::TomlError| value.as_str().into());
@@ -106,14 +107,16 @@
                     Ok(i) => item.get_mut(i),
                     Err(_) => item.get_mut(*part),
                 };
-                item = next.ok_or_else(|| self.at(0, key, format!("there is no {part} to set it in")))?;
+                item = next.ok_or_else(|| {
+                    self.fault_at(0, key, format!("there is no table {part} that could hold it"))
+                })?;
             }
             item[*last] = toml_edit::Item::Value(value);
         }
         Ok(Text { file: format!("{}, as changed", self.file), text: document.to_string() })
     }
 
-    fn at(&self, line: usize, key: &str, why: impl fmt::Display) -> Fault {
+    fn fault_at(&self, line: usize, key: &str, why: impl fmt::Display) -> Fault {
         let why = why.to_string().trim_end().replace('\n', " ");
         Fault { file: self.file.clone(), line, key: key.to_owned(), why }
     }
@@ -122,7 +125,7 @@
         self.text.bytes().take(byte).filter(|&b| b == b'\n').count() + 1
     }
 
-    /// The key on the line that holds a byte: the reader of TOML names none.
+    /// The key on the line that contains a byte offset: errors of the TOML parser do not name it.
     fn key_on_line(&self, byte: usize) -> String {
         let line = self.text.lines().nth(self.line_of(byte) - 1).unwrap_or_default();
         line.split_once('=').map(|(key, _)| key.trim().to_owned()).unwrap_or_default()
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a setting, and where: the whole path of its key.
+//! Errors in settings, which name the full path of the key.
 
 use serde::{Deserialize, Deserializer};
 use serde_json::Error;
@@ -8,7 +8,7 @@
 /// A key that is missing or cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BadSetting {
-    /// The key's path, its parts joined by dots; empty for the whole.
+    /// Path of the key, its parts joined by dots; empty for the settings as a whole.
     pub key: String,
     /// What is wrong with it, in one line.
     pub why: String,
@@ -24,7 +24,7 @@
 }
 
 impl BadSetting {
-    /// A fault of a key.
+    /// An error of a key.
     pub fn new(key: impl Into<String>, why: impl fmt::Display) -> BadSetting {
         BadSetting { key: key.into(), why: why.to_string().replace(['\n', '\r'], " ") }
     }
@@ -33,9 +33,10 @@
         BadSetting::new(key, "is missing")
     }
 
-    /// A fault met on a path: serde tells of a missing field by the path of what should hold it.
-    fn met(path: &Path, error: &Error) -> BadSetting {
-        let mut parts: Vec<String> = path.iter().filter_map(part).collect();
+    /// Converts an error of serde. For a missing field, serde reports the path of the object that
+    /// should hold it, so the field is appended.
+    fn from_serde(path: &Path, error: &Error) -> BadSetting {
+        let mut parts: Vec<String> = path.iter().filter_map(path_part).collect();
         let why = error.to_string();
         if let Some((field, _)) = why.strip_prefix("missing field `").and_then(|rest| rest.split_once('`'))
         {
@@ -51,7 +52,7 @@
     }
 }
 
-fn part(segment: &Segment) -> Option<String> {
+fn path_part(segment: &Segment) -> Option<String> {
     match segment {
         Segment::Seq { index } => Some(index.to_string()),
         Segment::Map { key } => Some(key.clone()),
@@ -59,11 +60,11 @@
     }
 }
 
-/// Reads a type from JSON; what it fails on is named by its whole path.
+/// Deserialises a type from JSON. An error names the full path of its key.
 pub fn read<'de, T, D>(from: D) -> Result<T, BadSetting>
 where
     T: Deserialize<'de>,
     D: Deserializer<'de, Error = Error>,
 {
-    serde_path_to_error::deserialize(from).map_err(|e| BadSetting::met(e.path(), e.inner()))
+    serde_path_to_error::deserialize(from).map_err(|e| BadSetting::from_serde(e.path(), e.inner()))
 }
--- a/crates/settings/src/flat.rs
+++ b/crates/settings/src/flat.rs
@@ -1,26 +1,29 @@
-//! The simulator's `path=value` lines as the object that they were written from. Every value stays a word.
+//! Assembles the simulator's flat `path=value` lines into the object that they were written from.
+//! All values remain strings.
 
 use crate::fault::BadSetting;
-use crate::plain::Plain;
+use crate::scalar::Scalar;
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-/// Settings are three parts deep at most; what is far deeper is none of them.
-const DEPTH: usize = 8;
+/// Maximum number of parts in a path. Settings have at most three; a much deeper path is none of
+/// them and is ignored.
+const MAX_PATH_PARTS: usize = 8;
 
-/// The lists of objects that are read.
+/// Keys whose value is a list of objects.
 const LISTS: [&str; 2] = ["lanes", "orgs"];
 
 /// The object that the lines describe.
 pub(crate) fn object(text: &str) -> Result<Value, BadSetting> {
     let mut object = Map::new();
     for (path, value) in text.lines().filter_map(|line| line.split_once('=')) {
-        if path.split('.').count() <= DEPTH {
+        if path.split('.').count() <= MAX_PATH_PARTS {
             insert(&mut object, path, value);
         }
     }
     for list in LISTS {
-        if let Some(items) = object.remove(list).map(|items| counted(list, items)).transpose()?.flatten() {
+        if let Some(items) = object.remove(list).map(|items| read_list(list, items)).transpose()?.flatten()
+        {
             object.insert(list.to_owned(), items);
         }
     }
@@ -33,20 +36,21 @@
             object.insert(path.to_owned(), value.into());
         }
         Some((key, rest)) => {
-            let under = object.entry(key).or_insert_with(|| Map::new().into());
-            if let Value::Object(under) = under {
-                insert(under, rest, value);
+            let nested = object.entry(key).or_insert_with(|| Map::new().into());
+            if let Value::Object(nested) = nested {
+                insert(nested, rest, value);
             }
         }
     }
 }
 
-/// A list of objects, which states its length under `count`; one that states none is no list.
-fn counted(list: &str, items: Value) -> Result<Option<Value>, BadSetting> {
+/// Converts a list of objects, whose length stands under `count`; without a `count` it is not a
+/// list.
+fn read_list(list: &str, items: Value) -> Result<Option<Value>, BadSetting> {
     let Value::Object(mut items) = items else { return Ok(None) };
     let Some(count) = items.remove("count") else { return Ok(None) };
-    let Plain(count) =
-        Plain::<u16>::deserialize(count).map_err(|why| BadSetting::new(format!("{list}.count"), why))?;
+    let Scalar(count) = Scalar::<u16>::deserialize(count)
+        .map_err(|error| BadSetting::new(format!("{list}.count"), error))?;
     let mut item = |i: u16| items.remove(&i.to_string()).unwrap_or_else(|| Map::new().into());
     Ok(Some((0..count).map(&mut item).collect()))
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,66 +1,70 @@
-//! The platform's settings, read once for both forms in which they come: the simulator's `path=value` lines
-//! and the nested JSON of a sidecar's configuration.
+//! Reads the deployment's settings in both forms in which they come: the simulator's flat
+//! `path=value` lines and the nested JSON of a sidecar's configuration.
 //!
-//! Both are read by the same serde derive ([`Written`]): the lines are first put together into the object that
-//! they were written from. [`read`] names the whole path of a key at fault, for any form.
+//! Both are deserialised by the same serde types ([`Written`]): flat lines are first assembled into
+//! the object that they were written from. Errors of [`read`] name the full path of the key, in
+//! either form.
 
 mod fault;
-mod pairs;
-mod plain;
-mod written;
+mod flat;
+
+mod raw;
+mod scalar;
 
 pub use fault::{BadSetting, read};
-pub use written::Written;
+pub use raw::Written;
 
 use cottonpoint_decide::*;
 use std::time::Duration;
 
 type Result<T> = std::result::Result<T, BadSetting>;
 
-/// Where the values of a load report stand among those that the settings name.
+/// Positions of the load report's values that the balancer uses, among those that the settings
+/// name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReportFields {
-    /// The busy fraction of the processor.
+    /// Processor utilization, as a fraction.
     pub utilization: Option<usize>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub rate: Option<usize>,
 }
 
 impl ReportFields {
-    /// Picks the values that the balancer looks at.
+    /// Picks the values that the balancer uses.
     pub fn report(&self, value: impl Fn(usize) -> Option<f64>) -> LoadReport {
         LoadReport { utilization: self.utilization.and_then(&value), rate: self.rate.and_then(&value) }
     }
 }
 
-/// All that is read from the settings.
+/// All that is read from the deployment's settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Platform {
-    /// The balancer's own settings.
+    /// Settings of the balancer.
     pub balancer: Settings,
-    /// Where a load report's values stand.
+    /// Positions of the values in a load report.
     pub fields: ReportFields,
-    /// The names of a load report's values.
+    /// Names of the values in a load report.
     pub field_names: Vec<String>,
-    /// The class names, indexed by [`ClassId`].
+    /// Class names, indexed by [`ClassId`].
     pub classes: Vec<String>,
-    /// The tenant names, indexed by [`TenantId`].
+    /// Tenant names, indexed by [`TenantId`].
     pub tenants: Vec<String>,
-    /// The zone names, indexed by [`ZoneId`].
+    /// Zone names, indexed by [`ZoneId`].
     pub zones: Vec<String>,
-    /// The names of machine kinds, indexed by [`KindId`].
+    /// Names of machine kinds, indexed by [`KindId`].
     pub kinds: Vec<String>,
-    /// A connection that takes longer to come up is given up.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// The other side closes a connection that has stood idle for this long.
+    /// Time after which the peer closes an idle connection.
     pub conn_idle: Duration,
-    /// How long something new may still go to an endpoint once this process was told that it leaves.
+    /// How long new attempts may still go to an endpoint after this process was notified that it
+    /// drains.
     pub drain_grace: Duration,
-    /// The longest stay-away that a client heeds.
+    /// Longest Retry-After that clients obey.
     pub max_retry_after: Option<Duration>,
 }
 
-/// Reads the simulator's `path=value` lines.
+/// Reads settings from the simulator's flat `path=value` lines.
 pub fn from_pairs(text: &str) -> Result<Platform> {
-    read::<Written, _>(pairs::object(text)?)?.platform()
+    read::<Written, _>(flat::object(text)?)?.platform()
 }
--- a/crates/settings/tests/forms.rs
+++ b/crates/settings/tests/forms.rs
@@ -1,4 +1,4 @@
-//! The settings in both forms: the same values, and faults named by their whole path.
+//! Reading settings in both forms: equal values, and errors that name the full path of the key.
 #![allow(missing_docs)]
 
 use cottonpoint_settings::{BadSetting, Platform, Written, from_pairs, read};
@@ -64,17 +64,17 @@
     read::<Written, _>(&mut serde_json::Deserializer::from_str(text))?.platform()
 }
 
-/// Guards against: a key read from one form and not from the other, or a value changed on the way.
+/// Guards against: a key that is read from one form only, or a value that one form changes.
 #[test]
-fn both_forms_come_to_the_same() {
+fn both_forms_give_the_same_settings() {
     let platform = from_pairs(PAIRS).expect("good settings");
     assert_eq!(from_json(JSON).as_ref(), Ok(&platform));
     assert_debug_snapshot!(platform);
 }
 
-/// Guards against: a key that has come to be needed, and a default that has changed.
+/// Guards against: an optional key that has become required, or a changed default.
 #[test]
-fn what_may_be_left_out_has_its_default() {
+fn omitted_keys_have_defaults() {
     let optional = [
         "azs=",
         "shapes=",
@@ -94,22 +94,24 @@
     ];
     let kept: Vec<&str> = PAIRS.lines().filter(|l| !optional.iter().any(|o| l.starts_with(o))).collect();
     let text = kept.join("\n").replace("on_request", "pushed");
-    let bare = from_pairs(&text).expect("good settings");
-    assert_debug_snapshot!(bare);
-    // Keys that nobody reads may hold anything, and so may those that these settings do not ask for.
-    let odd = "\norgs=\nlanes.0.window_ns=?\nobligations.ask_within_ns=?\nnew=1,2\nnew.count=x\nno value\n";
+    let minimal = from_pairs(&text).expect("good settings");
+    assert_debug_snapshot!(minimal);
+    // Unknown keys may hold anything, and so may known keys that these settings do not require.
+    let ignored =
+        "\norgs=\nlanes.0.window_ns=?\nobligations.ask_within_ns=?\nnew=1,2\nnew.count=x\nno value\n";
     let deep = format!("deep{}=1", ".x".repeat(100_000));
-    assert_eq!(from_pairs(&(text + odd + &deep)), Ok(bare));
+    assert_eq!(from_pairs(&(text + ignored + &deep)), Ok(minimal));
 }
 
-/// Guards against: a fault that is taken, that ends the program, or whose message does not say where to look.
+/// Guards against: an invalid setting that is accepted, that causes a panic, or whose error does
+/// not say where it is.
 #[test]
-fn a_fault_is_named_by_its_whole_path() {
-    let mut said = String::new();
-    let mut fault = |form: &str, what: &str, read: Result<Platform, BadSetting>| {
-        let fault = read.expect_err(what).to_string();
-        assert_eq!(fault.lines().count(), 1);
-        said += &format!("{form} {what}: {fault}\n");
+fn errors_name_the_full_key_path() {
+    let mut messages = String::new();
+    let mut error_of = |form: &str, what: &str, read: Result<Platform, BadSetting>| {
+        let error = read.expect_err(what).to_string();
+        assert_eq!(error.lines().count(), 1);
+        messages += &format!("{form} {what}: {error}\n");
     };
     for (from, to) in [
         ("me=3\n", ""),
@@ -133,7 +135,7 @@
         ("orgs.0.quota_per_s=111.0\n", ""),
     ] {
         assert!(PAIRS.contains(from), "{from}");
-        fault("pairs", to, from_pairs(&PAIRS.replacen(from, to, 1)));
+        error_of("pairs", to, from_pairs(&PAIRS.replacen(from, to, 1)));
     }
     for (from, to) in [
         ("\"me\":3,", ""),
@@ -149,15 +151,15 @@
         ("\"penalties\":{", "\"penalties\":[{"),
     ] {
         assert!(JSON.contains(from), "{from}");
-        fault("json", to, from_json(&JSON.replacen(from, to, 1)));
+        error_of("json", to, from_json(&JSON.replacen(from, to, 1)));
     }
-    fault("json", "a list", from_json("[]"));
-    fault(
+    error_of("json", "a list", from_json("[]"));
+    error_of(
         "json",
         "too many",
         from_json(
             &JSON.replace(r#""orgs":["#, &format!(r#""orgs":[{}"#, r#"{"quota_per_s":1},"#.repeat(65535))),
         ),
     );
-    assert_snapshot!(said);
+    assert_snapshot!(messages);
 }
