--- a/crates/core/src/admit.rs
+++ b/crates/core/src/admit.rs
@@ -1,6 +1,6 @@
 //! Admission: hands a request that a front end has read to the balancer.
 
-use super::{RequestState, Sidecar, Step};
+use super::{Decision, RequestState, Sidecar};
 use async_channel::Receiver;
 use cottonpoint_decide::*;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 pub struct Flow {
     pub(super) sidecar: Rc<Sidecar>,
     pub(super) id: RequestId,
-    pub(super) decisions: Receiver<Step>,
+    pub(super) decisions: Receiver<Decision>,
 }
 
 impl Sidecar {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -24,7 +24,7 @@
 pub use guard::{AttemptFacts, Denial, EndpointStanding, Guard, Violation};
 pub use lease::{Lease, PollEvent};
 pub use list::MAX_ANSWER_TRANSIT;
-pub use route::{FixedResponse, Halt, Step};
+pub use route::{Decision, FixedResponse, Halt};
 pub use stop::Stop;
 pub use targets::{EndpointList, Lifecycle, Listed, Target, UnknownEndpoint, target_id};
 
@@ -46,7 +46,7 @@
     /// Version of the settings under which the request was admitted; names the balancer that owns
     /// it.
     settings_version: u32,
-    decisions: Sender<Step>,
+    decisions: Sender<Decision>,
     /// For each attempt, the channel that aborts it and the endpoint it goes to.
     attempts: Vec<(Sender<Halt>, EndpointId)>,
     /// The final answer has been given, or none is owed any more.
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -27,20 +27,20 @@
 }
 
 /// What to do next for a request.
-pub enum Step {
+pub enum Decision {
     /// Send it to an endpoint and report the outcome.
     Attempt(Attempt),
     /// Answer the client with this local reply.
-    Answer(FixedResponse),
+    LocalReply(FixedResponse),
     /// Nothing is owed any more.
-    Over,
+    Ended,
 }
 
 impl Flow {
     /// Waits for the next decision. After a final answer, or once the client has gone, it is always
-    /// [`Step::Over`].
-    pub async fn route(&self) -> Step {
-        self.decisions.recv().await.unwrap_or(Step::Over)
+    /// [`Decision::Ended`].
+    pub async fn route(&self) -> Decision {
+        self.decisions.recv().await.unwrap_or(Decision::Ended)
     }
 
     /// Reports that the client has gone. The balancer then cancels the attempts under way.
@@ -49,7 +49,7 @@
         if let Some(entry) = core.requests.get_mut(&self.id)
             && !std::mem::replace(&mut entry.closed, true)
         {
-            let _ = entry.decisions.try_send(Step::Over);
+            let _ = entry.decisions.try_send(Decision::Ended);
             drop(core);
             self.sidecar.counts.count_departed();
             self.sidecar.feed(Event::Departed { id: self.id });
@@ -83,7 +83,7 @@
     let attempt = Attempt::new(sidecar.clone(), id, number, target, until, halted);
     // The receiver lives as long as the request's state, so no attempt is dropped here, where the
     // core is borrowed.
-    let _ = entry.decisions.try_send(Step::Attempt(attempt));
+    let _ = entry.decisions.try_send(Decision::Attempt(attempt));
     None
 }
 
@@ -92,6 +92,6 @@
     let open = core.requests.get_mut(&id).filter(|entry| !entry.closed);
     open.is_some_and(|entry| {
         entry.closed = true;
-        entry.decisions.try_send(Step::Answer(response)).is_ok()
+        entry.decisions.try_send(Decision::LocalReply(response)).is_ok()
     })
 }
--- a/crates/net/src/clients/flow.rs
+++ b/crates/net/src/clients/flow.rs
@@ -5,7 +5,7 @@
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http::Head;
-use cottonpoint_core::{Fate, FixedResponse, NewFlow, Step};
+use cottonpoint_core::{Decision, Fate, FixedResponse, NewFlow};
 use futures_lite::future;
 use std::net::TcpStream;
 use std::time::Duration;
@@ -114,7 +114,7 @@
         let stages = async {
             loop {
                 match flow.route().await {
-                    Step::Attempt(attempt) => {
+                    Decision::Attempt(attempt) => {
                         let until = clock.instant(attempt.until);
                         let written = || self.sidecar.counts().relayed(class);
                         let (outcome, report, served) =
@@ -125,7 +125,7 @@
                             return Some(Reply::served(served));
                         }
                     }
-                    Step::Answer(response) => {
+                    Decision::LocalReply(response) => {
                         let suspended = self.sidecar.is_suspended();
                         tracing::debug!(
                             id = taken.id,
@@ -136,7 +136,7 @@
                         );
                         return Some(Reply::fixed(response));
                     }
-                    Step::Over => return None,
+                    Decision::Ended => return None,
                 }
             }
         };
