--- a/crates/core/src/counts.rs
+++ b/crates/core/src/counts.rs
@@ -1,7 +1,7 @@
 //! Counters of the core, read by metrics and the console. They are plain integers that only grow,
 //! since a sidecar runs on one thread.
 
-use crate::FixedResponse;
+use crate::LocalReply;
 use cottonpoint_decide::Outcome;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -60,8 +60,8 @@
         increment(&self.admitted);
     }
 
-    pub(crate) fn count_reply(&self, response: FixedResponse) {
-        increment(if response == FixedResponse::Failed { &self.failed } else { &self.refused });
+    pub(crate) fn count_reply(&self, response: LocalReply) {
+        increment(if response == LocalReply::Failed { &self.failed } else { &self.refused });
     }
 
     pub(crate) fn count_departed(&self) {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -24,7 +24,7 @@
 pub use guard::{AttemptFacts, Denial, EndpointStanding, Guard, Violation};
 pub use lease::{Lease, PollEvent};
 pub use list::MAX_ANSWER_TRANSIT;
-pub use route::{Decision, FixedResponse, Halt};
+pub use route::{Decision, Halt, LocalReply};
 pub use stop::Stop;
 pub use targets::{EndpointList, Lifecycle, Listed, Target, UnknownEndpoint, target_id};
 
@@ -238,7 +238,7 @@
         }
     }
 
-    fn reply_locally(&self, core: &mut Core, id: RequestId, response: FixedResponse) {
+    fn reply_locally(&self, core: &mut Core, id: RequestId, response: LocalReply) {
         if route::queue_reply(core, id, response) {
             self.counts.count_reply(response);
         }
@@ -255,9 +255,9 @@
                 return route::queue_attempt(self, core, id, endpoint, until);
             }
             Action::Refuse { id, retry_after } => {
-                self.reply_locally(core, id, FixedResponse::Refused { retry_after });
+                self.reply_locally(core, id, LocalReply::Refused { retry_after });
             }
-            Action::Fail { id } => self.reply_locally(core, id, FixedResponse::Failed),
+            Action::Fail { id } => self.reply_locally(core, id, LocalReply::Failed),
             Action::Cancel { id, attempt } => {
                 let entry = core.requests.get(&id);
                 if let Some((abort, _)) = entry.and_then(|e| e.attempts.get(usize::from(attempt))) {
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -7,7 +7,7 @@
 
 /// The sidecar's own final answer to a request, without an endpoint's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FixedResponse {
+pub enum LocalReply {
     /// Refused: the request had no effect, a retry is harmless.
     Refused {
         /// How long the client should wait before a retry.
@@ -31,7 +31,7 @@
     /// Send it to an endpoint and report the outcome.
     Attempt(Attempt),
     /// Answer the client with this local reply.
-    LocalReply(FixedResponse),
+    LocalReply(LocalReply),
     /// Nothing is owed any more.
     Ended,
 }
@@ -88,7 +88,7 @@
 }
 
 /// Queues a final answer unless the request has had one. Returns whether it was queued.
-pub(super) fn queue_reply(core: &mut Core, id: RequestId, response: FixedResponse) -> bool {
+pub(super) fn queue_reply(core: &mut Core, id: RequestId, response: LocalReply) -> bool {
     let open = core.requests.get_mut(&id).filter(|entry| !entry.closed);
     open.is_some_and(|entry| {
         entry.closed = true;
--- a/crates/net/src/clients/flow.rs
+++ b/crates/net/src/clients/flow.rs
@@ -5,7 +5,7 @@
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http::Head;
-use cottonpoint_core::{Decision, Fate, FixedResponse, NewFlow};
+use cottonpoint_core::{Decision, Fate, LocalReply, NewFlow};
 use futures_lite::future;
 use std::net::TcpStream;
 use std::time::Duration;
@@ -40,7 +40,7 @@
         let full = self.ids.borrow().len() >= self.servers.bound();
         let full = full.then(|| self.platform.borrow().max_retry_after);
         if let Some(retry_after) = full.or_else(|| self.leaves_too_few().map(Some)) {
-            let reply = Reply::fixed(FixedResponse::Refused { retry_after });
+            let reply = Reply::fixed(LocalReply::Refused { retry_after });
             self.count(&taken.class_name, Some(&reply));
             return Some(reply);
         }
@@ -68,7 +68,7 @@
                     rule,
                     "a rule was about to be broken"
                 );
-                Some(Reply::fixed(FixedResponse::Failed))
+                Some(Reply::fixed(LocalReply::Failed))
             }
         }
     }
@@ -148,7 +148,7 @@
         let overdue = async {
             Timer::at(clock.instant(due + OVERDUE)).await;
             flow.depart();
-            Some(Reply::fixed(FixedResponse::Failed))
+            Some(Reply::fixed(LocalReply::Failed))
         };
         let reply = future::or(departure, future::or(stages, overdue)).await;
         let reply = match reply {
--- a/crates/net/src/clients/relay.rs
+++ b/crates/net/src/clients/relay.rs
@@ -1,7 +1,7 @@
 //! Relay: an answer goes to the client, whoever made it.
 
 use crate::servers::Served;
-use cottonpoint_core::FixedResponse;
+use cottonpoint_core::LocalReply;
 use std::fmt::Write;
 
 /// An answer to a client.
@@ -23,13 +23,13 @@
     }
 
     /// The words for a final answer that no target made. Only a refusal may be worded as one.
-    pub fn fixed(response: FixedResponse) -> Reply {
+    pub fn fixed(response: LocalReply) -> Reply {
         match response {
-            FixedResponse::Refused { retry_after: None } => Reply::plain(503, "refused"),
-            FixedResponse::Refused { retry_after: Some(wait) } => {
+            LocalReply::Refused { retry_after: None } => Reply::plain(503, "refused"),
+            LocalReply::Refused { retry_after: Some(wait) } => {
                 Reply::plain(503, "refused").with("Retry-After", &format!("{:.3}", wait.as_secs_f64()))
             }
-            FixedResponse::Failed => Reply::plain(502, "failed"),
+            LocalReply::Failed => Reply::plain(502, "failed"),
         }
     }
 
