--- a/crates/core/src/counts.rs
+++ b/crates/core/src/counts.rs
@@ -12,7 +12,7 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestOutcome {
     /// An endpoint's answer was passed on.
     Fulfilled,
     /// It was refused, so a retry is harmless.
@@ -105,12 +105,12 @@
     }
 
     /// Counts a request of this class that has had its final answer, or whose client has gone.
-    pub fn ended_as(&self, class: &str, fate: Fate) {
+    pub fn count_request(&self, class: &str, outcome: RequestOutcome) {
         self.update_class(class, |c| {
-            let n = match fate {
-                Fate::Fulfilled => &mut c.fulfilled,
-                Fate::Throttled => &mut c.throttled,
-                Fate::Faulted => &mut c.faulted,
+            let n = match outcome {
+                RequestOutcome::Fulfilled => &mut c.fulfilled,
+                RequestOutcome::Throttled => &mut c.throttled,
+                RequestOutcome::Faulted => &mut c.faulted,
             };
             *n += 1;
         });
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -20,7 +20,7 @@
 pub use admit::{Flow, NewFlow};
 pub use book::Attempt;
 pub use clock::Clock;
-pub use counts::{ClassCounts, Counts, Fate};
+pub use counts::{ClassCounts, Counts, RequestOutcome};
 pub use guard::{AttemptFacts, Denial, EndpointStanding, Guard, Violation};
 pub use lease::{Lease, PollEvent};
 pub use list::MAX_ANSWER_TRANSIT;
--- a/crates/net/src/clients/flow.rs
+++ b/crates/net/src/clients/flow.rs
@@ -5,7 +5,7 @@
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http::Head;
-use cottonpoint_core::{Decision, Fate, LocalReply, NewFlow};
+use cottonpoint_core::{Decision, LocalReply, NewFlow, RequestOutcome};
 use futures_lite::future;
 use std::net::TcpStream;
 use std::time::Duration;
@@ -83,11 +83,11 @@
     /// Counts a flow's final answer for its class; one whose client has gone counts as failed.
     fn count(&self, class: &str, reply: Option<&Reply>) {
         let fate = match reply.map(|r| r.status) {
-            Some(200..=299) => Fate::Fulfilled,
-            Some(429 | 503) => Fate::Throttled,
-            _ => Fate::Faulted,
+            Some(200..=299) => RequestOutcome::Fulfilled,
+            Some(429 | 503) => RequestOutcome::Throttled,
+            _ => RequestOutcome::Faulted,
         };
-        self.sidecar.counts().ended_as(class, fate);
+        self.sidecar.counts().count_request(class, fate);
     }
 
     /// Takes a flow through its stages.
