--- a/crates/core/src/book.rs
+++ b/crates/core/src/book.rs
@@ -1,6 +1,6 @@
 //! Attempts: each one reports its outcome to the balancer exactly once.
 
-use super::{AttemptFacts, Denial, Halt, Sidecar, Target};
+use super::{AbortReason, AttemptFacts, Denial, Sidecar, Target};
 use async_channel::Receiver;
 use cottonpoint_decide::*;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
     /// Time at which the attempt is abandoned.
     pub until: Time,
     sent_at: Time,
-    halted: Receiver<Halt>,
+    aborted: Receiver<AbortReason>,
     completed: bool,
 }
 
@@ -29,15 +29,15 @@
         number: u8,
         target: Target,
         until: Time,
-        halted: Receiver<Halt>,
+        aborted: Receiver<AbortReason>,
     ) -> Attempt {
         let sent_at = sidecar.clock.now();
-        Attempt { sidecar, request, number, target, until, sent_at, halted, completed: false }
+        Attempt { sidecar, request, number, target, until, sent_at, aborted, completed: false }
     }
 
     /// Waits until the attempt should be aborted.
-    pub async fn halted(&self) -> Halt {
-        self.halted.recv().await.unwrap_or(Halt::Withdrawn)
+    pub async fn aborted(&self) -> AbortReason {
+        self.aborted.recv().await.unwrap_or(AbortReason::Cancelled)
     }
 
     /// Whether the next byte may be written, given that the last byte reaches the endpoint
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -24,7 +24,7 @@
 pub use guard::{AttemptFacts, Denial, EndpointStanding, Guard, Violation};
 pub use lease::{Lease, PollEvent};
 pub use list::MAX_ANSWER_TRANSIT;
-pub use route::{Decision, Halt, LocalReply};
+pub use route::{AbortReason, Decision, LocalReply};
 pub use stop::Stop;
 pub use targets::{EndpointList, Lifecycle, Listed, Target, UnknownEndpoint, target_id};
 
@@ -48,7 +48,7 @@
     settings_version: u32,
     decisions: Sender<Decision>,
     /// For each attempt, the channel that aborts it and the endpoint it goes to.
-    attempts: Vec<(Sender<Halt>, EndpointId)>,
+    attempts: Vec<(Sender<AbortReason>, EndpointId)>,
     /// The final answer has been given, or none is owed any more.
     closed: bool,
 }
@@ -261,7 +261,7 @@
             Action::Cancel { id, attempt } => {
                 let entry = core.requests.get(&id);
                 if let Some((abort, _)) = entry.and_then(|e| e.attempts.get(usize::from(attempt))) {
-                    let _ = abort.try_send(Halt::Withdrawn);
+                    let _ = abort.try_send(AbortReason::Cancelled);
                 }
             }
             Action::SetTimer { after, token } => {
@@ -291,7 +291,7 @@
             if let Some((abort, target)) = entry.attempts.last()
                 && !self.endpoint_list.takes_work(*target)
             {
-                let _ = abort.try_send(Halt::TargetLeft);
+                let _ = abort.try_send(AbortReason::EndpointUnavailable);
             }
         }
     }
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -19,11 +19,11 @@
 
 /// Why an attempt should be aborted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Halt {
+pub enum AbortReason {
     /// The balancer cancelled it.
-    Withdrawn,
+    Cancelled,
     /// Its endpoint accepts no new attempts; an attempt that has started may continue.
-    TargetLeft,
+    EndpointUnavailable,
 }
 
 /// What to do next for a request.
@@ -66,7 +66,7 @@
     endpoint: EndpointId,
     until: Time,
 ) -> Option<Event<'static>> {
-    let (abort, halted) = async_channel::unbounded();
+    let (abort, aborted) = async_channel::unbounded();
     let target = core.endpoint_list.find(endpoint);
     let Some(entry) = core.requests.get_mut(&id) else {
         let (outcome, elapsed) = (Outcome::Moot, Duration::ZERO);
@@ -80,7 +80,7 @@
         let (attempt, closed, report) = (number, entry.closed, None);
         return Some(Event::Finished { id, attempt, endpoint, outcome, closed, elapsed, report });
     };
-    let attempt = Attempt::new(sidecar.clone(), id, number, target, until, halted);
+    let attempt = Attempt::new(sidecar.clone(), id, number, target, until, aborted);
     // The receiver lives as long as the request's state, so no attempt is dropped here, where the
     // core is borrowed.
     let _ = entry.decisions.try_send(Decision::Attempt(attempt));
--- a/crates/net/src/servers/send.rs
+++ b/crates/net/src/servers/send.rs
@@ -4,7 +4,7 @@
 use crate::origin::Origin;
 use async_io::Timer;
 use cottonpoint_codec::http::{self, Fault, Head};
-use cottonpoint_core::{Attempt, Denial, Halt};
+use cottonpoint_core::{AbortReason, Attempt, Denial};
 use cottonpoint_decide::*;
 use futures_lite::{AsyncWrite, future};
 use std::cell::Cell;
@@ -106,10 +106,12 @@
         };
         let halted = async {
             loop {
-                match attempt.halted().await {
-                    Halt::Withdrawn => return ended(Outcome::Cancelled),
-                    Halt::TargetLeft if !progress.get().has_begun() => return ended(Outcome::Moot),
-                    Halt::TargetLeft => {}
+                match attempt.aborted().await {
+                    AbortReason::Cancelled => return ended(Outcome::Cancelled),
+                    AbortReason::EndpointUnavailable if !progress.get().has_begun() => {
+                        return ended(Outcome::Moot);
+                    }
+                    AbortReason::EndpointUnavailable => {}
                 }
             }
         };
