--- a/crates/core/src/book.rs
+++ b/crates/core/src/book.rs
@@ -1,6 +1,6 @@
 //! Attempts: each one reports its outcome to the balancer exactly once.
 
-use super::{AbortReason, AttemptFacts, Denial, Sidecar, Target};
+use super::{AbortReason, AttemptFacts, Denial, EndpointAddress, Sidecar};
 use async_channel::Receiver;
 use cottonpoint_decide::*;
 use std::rc::Rc;
@@ -14,7 +14,7 @@
     /// Index among the attempts of its request, from 0.
     number: u8,
     /// The endpoint that it goes to.
-    pub target: Target,
+    pub endpoint: EndpointAddress,
     /// Time at which the attempt is abandoned.
     pub until: Time,
     sent_at: Time,
@@ -27,12 +27,12 @@
         sidecar: Rc<Sidecar>,
         request: RequestId,
         number: u8,
-        target: Target,
+        endpoint: EndpointAddress,
         until: Time,
         aborted: Receiver<AbortReason>,
     ) -> Attempt {
         let sent_at = sidecar.clock.now();
-        Attempt { sidecar, request, number, target, until, sent_at, aborted, completed: false }
+        Attempt { sidecar, request, number, endpoint, until, sent_at, aborted, completed: false }
     }
 
     /// Waits until the attempt should be aborted.
@@ -55,7 +55,7 @@
             request_open,
             repeatable,
             until: self.until,
-            endpoint: sidecar.core.borrow().endpoint_list.standing(self.target.id),
+            endpoint: sidecar.core.borrow().endpoint_list.standing(self.endpoint.id),
             list_valid: sidecar.lease.borrow().is_valid(now),
         };
         sidecar.guard.may_write(now, facts).inspect_err(|denial| self.log_denial(*denial, facts))
@@ -66,7 +66,7 @@
         tracing::debug!(
             flow = self.request.0,
             attempt = self.number,
-            endpoint = %format_args!("{:016x}", self.target.id.0),
+            endpoint = %format_args!("{:016x}", self.endpoint.id.0),
             reason = denial.name(),
             standing = ?facts.endpoint,
             list_age_ms = age.map(|age| age.as_millis() as u64),
@@ -85,7 +85,7 @@
             tracing::error!(
                 flow = self.request.0,
                 attempt = self.number,
-                endpoint = %format_args!("{:016x}", self.target.id.0),
+                endpoint = %format_args!("{:016x}", self.endpoint.id.0),
                 rule = violation.name(),
                 list_age_ms = age.map(|age| age.as_millis() as u64),
                 "attempt violated a protocol rule"
@@ -95,7 +95,7 @@
 
     /// Whether the endpoint still accepts new attempts.
     pub fn wanted(&self) -> bool {
-        self.sidecar.takes_work(self.target.id)
+        self.sidecar.takes_work(self.endpoint.id)
     }
 
     /// Reports the outcome to the balancer. Returns whether this attempt's answer is the one to
@@ -119,7 +119,7 @@
         self.sidecar.feed(Event::Finished {
             id: self.request,
             attempt: self.number,
-            endpoint: self.target.id,
+            endpoint: self.endpoint.id,
             outcome,
             closed: served || was_closed,
             elapsed: self.sidecar.clock.now().since(self.sent_at),
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -26,7 +26,7 @@
 pub use list::MAX_ANSWER_TRANSIT;
 pub use route::{AbortReason, Decision, LocalReply};
 pub use stop::Stop;
-pub use targets::{EndpointList, Lifecycle, Listed, Target, UnknownEndpoint, target_id};
+pub use targets::{EndpointAddress, EndpointList, Lifecycle, Listed, UnknownEndpoint, target_id};
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -288,8 +288,8 @@
     /// Aborts each attempt that has not started if its endpoint accepts no new attempts.
     fn abort_unwanted(&self) {
         for entry in self.requests.values() {
-            if let Some((abort, target)) = entry.attempts.last()
-                && !self.endpoint_list.takes_work(*target)
+            if let Some((abort, endpoint)) = entry.attempts.last()
+                && !self.endpoint_list.takes_work(*endpoint)
             {
                 let _ = abort.try_send(AbortReason::EndpointUnavailable);
             }
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -165,8 +165,8 @@
     }
 
     /// Whether an endpoint is listed and accepts new attempts.
-    pub fn takes_work(&self, target: EndpointId) -> bool {
-        self.core.borrow().endpoint_list.takes_work(target)
+    pub fn takes_work(&self, endpoint: EndpointId) -> bool {
+        self.core.borrow().endpoint_list.takes_work(endpoint)
     }
 
     /// Takes an endpoint offline (`offline`) or puts it back online. An offline endpoint gets no
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -67,7 +67,7 @@
     until: Time,
 ) -> Option<Event<'static>> {
     let (abort, aborted) = async_channel::unbounded();
-    let target = core.endpoint_list.find(endpoint);
+    let address = core.endpoint_list.find(endpoint);
     let Some(entry) = core.requests.get_mut(&id) else {
         let (outcome, elapsed) = (Outcome::Moot, Duration::ZERO);
         let (attempt, report) = (0, None);
@@ -75,12 +75,12 @@
     };
     let number = u8::try_from(entry.attempts.len()).unwrap_or(u8::MAX);
     entry.attempts.push((abort, endpoint));
-    let Some(target) = target else {
+    let Some(address) = address else {
         let (outcome, elapsed) = (Outcome::ConnectFailed, Duration::ZERO);
         let (attempt, closed, report) = (number, entry.closed, None);
         return Some(Event::Finished { id, attempt, endpoint, outcome, closed, elapsed, report });
     };
-    let attempt = Attempt::new(sidecar.clone(), id, number, target, until, aborted);
+    let attempt = Attempt::new(sidecar.clone(), id, number, address, until, aborted);
     // The receiver lives as long as the request's state, so no attempt is dropped here, where the
     // core is borrowed.
     let _ = entry.decisions.try_send(Decision::Attempt(attempt));
--- a/crates/core/src/targets.rs
+++ b/crates/core/src/targets.rs
@@ -8,7 +8,7 @@
 
 /// An endpoint as an attempt needs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Target {
+pub struct EndpointAddress {
     /// Identity of the endpoint.
     pub id: EndpointId,
     /// Address that it listens on.
@@ -118,8 +118,8 @@
     }
 
     /// Identity and address of a listed endpoint.
-    pub fn find(&self, id: EndpointId) -> Option<Target> {
-        self.by_id.get(&id).map(|t| Target { id, address: t.record.address })
+    pub fn find(&self, id: EndpointId) -> Option<EndpointAddress> {
+        self.by_id.get(&id).map(|t| EndpointAddress { id, address: t.record.address })
     }
 
     /// Effective state of an endpoint: that of the list, unless it has been taken offline.
--- a/crates/net/src/clients/flow.rs
+++ b/crates/net/src/clients/flow.rs
@@ -119,7 +119,7 @@
                         let written = || self.sidecar.counts().relayed(class);
                         let (outcome, report, served) =
                             self.servers.send(&attempt, until, &taken.outgoing, waits, written).await;
-                        let endpoint = attempt.target.address;
+                        let endpoint = attempt.endpoint.address;
                         tracing::debug!(id = taken.id, class, %endpoint, ?outcome, "an attempt has ended");
                         if attempt.book(outcome, report) {
                             return Some(Reply::served(served));
--- a/crates/net/src/servers/mod.rs
+++ b/crates/net/src/servers/mod.rs
@@ -7,7 +7,7 @@
 use async_executor::Task;
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
-use cottonpoint_core::{Executor, Target};
+use cottonpoint_core::{EndpointAddress, Executor};
 use cottonpoint_decide::{EndpointId, Outcome};
 use cottonpoint_settings::ReportFields;
 use futures_lite::future;
@@ -138,7 +138,7 @@
 
     /// The most recently used idle connection to a target that has rested and is still open. Where all of them rest, they
     /// are waited for: a new one costs the target more, and may come up late.
-    async fn take(&self, target: Target) -> Option<Connection> {
+    async fn take(&self, target: EndpointAddress) -> Option<Connection> {
         let resting = || {
             let pools = self.idle.borrow();
             let pool = pools.get(&target.id)?;
@@ -162,7 +162,7 @@
         }
     }
 
-    async fn connect(&self, target: Target) -> io::Result<Connection> {
+    async fn connect(&self, target: EndpointAddress) -> io::Result<Connection> {
         while self.open.get() >= self.bound() {
             if !self.close_oldest() {
                 return Err(io::Error::other("no connection to spare"));
--- a/crates/net/src/servers/send.rs
+++ b/crates/net/src/servers/send.rs
@@ -118,7 +118,7 @@
         let exchange = self.exchange(attempt, until, message, &progress, waits, written);
         let ended = future::or(exchange, future::or(halted, timeout)).await;
         if attempt.wanted() {
-            self.heard(attempt.target.id, ended.0);
+            self.heard(attempt.endpoint.id, ended.0);
         }
         ended
     }
@@ -132,7 +132,7 @@
         waits: impl Fn() -> bool,
         written: impl FnOnce(),
     ) -> Ended {
-        let target = attempt.target;
+        let target = attempt.endpoint;
         let failed = |outcome| (outcome, None, Served::default());
         let (connection, way) = match self.take(target).await {
             Some(connection) => (Ok(connection), Duration::ZERO),
