--- a/crates/core/src/targets.rs
+++ b/crates/core/src/targets.rs
@@ -57,7 +57,7 @@
 
 /// Identity of an endpoint, derived from its name (XXH3, 64 bits). It is the same in every sidecar:
 /// the balancer orders endpoints by it, so that sidecars spread over them.
-pub fn target_id(name: &str) -> EndpointId {
+pub fn endpoint_id(name: &str) -> EndpointId {
     EndpointId(xxh3_64(name.as_bytes()))
 }
 
--- a/crates/lab/src/scale/host/hollow.rs
+++ b/crates/lab/src/scale/host/hollow.rs
@@ -8,7 +8,7 @@
 use async_channel::Sender;
 use async_executor::Task;
 use cottonpoint::config::Config;
-use cottonpoint_core::{Clock, Sidecar, target_id};
+use cottonpoint_core::{Clock, Sidecar, endpoint_id};
 use cottonpoint_decide::ListKind;
 use cottonpoint_net::list::{Names, Place, Watcher};
 use cottonpoint_net::servers::{Servers, Terms};
@@ -94,7 +94,7 @@
     }
 
     fn report(&self, version: u64) -> HollowReport {
-        let newest = target_id(&newest_line(version));
+        let newest = endpoint_id(&newest_line(version));
         let up_to_date = self.running.values().filter(|running| running.sidecar.takes_work(newest)).count();
         HollowReport { running: self.running.len(), up_to_date }
     }
--- a/crates/net/src/list/answer.rs
+++ b/crates/net/src/list/answer.rs
@@ -1,6 +1,6 @@
 //! Discovery's answer, read into the core's terms.
 
-use cottonpoint_core::{Lifecycle, Listed, target_id};
+use cottonpoint_core::{Lifecycle, Listed, endpoint_id};
 use cottonpoint_decide::*;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
                 other => return Err(format!("unknown lifecycle {other}")),
             };
             Ok(Listed {
-                id: target_id(&line.instance_id),
+                id: endpoint_id(&line.instance_id),
                 address: line.host_port,
                 zone: ZoneId(position(&names.zones, &line.zone)),
                 cell: CellId(line.cell),
--- a/crates/program/tests/sidecar/crossing.rs
+++ b/crates/program/tests/sidecar/crossing.rs
@@ -9,7 +9,7 @@
 use crate::peers::*;
 use async_io::Timer;
 use cottonpoint::net::list::Place;
-use cottonpoint::sidecar::target_id;
+use cottonpoint::sidecar::endpoint_id;
 use std::net::SocketAddr;
 use std::thread;
 use std::time::Duration;
@@ -47,7 +47,7 @@
     }
 
     fn takes_work(&self, endpoint: &str) -> bool {
-        self.embedded.sidecar.takes_work(target_id(endpoint))
+        self.embedded.sidecar.takes_work(endpoint_id(endpoint))
     }
 }
 
