--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -26,7 +26,7 @@
 pub use list::MAX_ANSWER_TRANSIT;
 pub use route::{AbortReason, Decision, LocalReply};
 pub use stop::Stop;
-pub use targets::{EndpointAddress, EndpointList, Lifecycle, Listed, UnknownEndpoint, endpoint_id};
+pub use targets::{EndpointAddress, EndpointList, EndpointRecord, Lifecycle, UnknownEndpoint, endpoint_id};
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -1,7 +1,7 @@
 //! The endpoint list in the core: updates from discovery, endpoints taken offline by an operator,
 //! and the lease that limits how long the list may be used.
 
-use super::{EndpointList, Listed, PollEvent, Sidecar, UnknownEndpoint};
+use super::{EndpointList, EndpointRecord, PollEvent, Sidecar, UnknownEndpoint};
 use async_io::Timer;
 use cottonpoint_decide::*;
 use futures_lite::future;
@@ -14,7 +14,7 @@
 
 impl Sidecar {
     /// Applies the list that the process is started with, which is as old as the process.
-    pub fn listed(self: &Rc<Self>, kind: ListKind, entries: &[Listed]) {
+    pub fn listed(self: &Rc<Self>, kind: ListKind, entries: &[EndpointRecord]) {
         let endpoints = {
             let mut core = self.core.borrow_mut();
             let endpoints = core.endpoint_list.update(kind, entries, &self.clock);
@@ -27,7 +27,7 @@
 
     /// Applies discovery's answer to a poll that began at `begun`, and acts on it at once: an
     /// attempt that has not started is aborted if its endpoint accepts no new attempts.
-    pub fn answered(self: &Rc<Self>, kind: ListKind, entries: &[Listed], begun: Time) {
+    pub fn answered(self: &Rc<Self>, kind: ListKind, entries: &[EndpointRecord], begun: Time) {
         let now = self.clock.now();
         let as_of = match self.lease.borrow().is_pushed() {
             true => now,
--- a/crates/core/src/targets.rs
+++ b/crates/core/src/targets.rs
@@ -28,7 +28,7 @@
 
 /// One record of the endpoint list, as discovery sent it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct EndpointRecord {
     /// Identity of the endpoint.
     pub id: EndpointId,
     /// Address that it listens on.
@@ -49,7 +49,7 @@
 /// A record of the list with the endpoint's start time by this process's clock.
 #[derive(Clone, Debug)]
 struct ListEntry {
-    record: Listed,
+    record: EndpointRecord,
     /// `None` means long ago. The same timestamp must always give the same time, because the
     /// balancer takes any other for a restart.
     started: Option<Time>,
@@ -200,7 +200,7 @@
     }
 
     /// Applies a change or a complete list. Returns the entries in the balancer's representation.
-    pub fn update(&mut self, kind: ListKind, entries: &[Listed], clock: &Clock) -> Vec<Endpoint> {
+    pub fn update(&mut self, kind: ListKind, entries: &[EndpointRecord], clock: &Clock) -> Vec<Endpoint> {
         let old_entries = match kind {
             ListKind::Full => std::mem::take(&mut self.by_id),
             _ => HashMap::new(),
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -12,7 +12,7 @@
 use crate::servers::Servers;
 use async_channel::Receiver;
 use async_io::Timer;
-use cottonpoint_core::{Listed, PollEvent, Sidecar};
+use cottonpoint_core::{EndpointRecord, PollEvent, Sidecar};
 use cottonpoint_decide::*;
 use evidence::evidence;
 use futures_lite::future;
@@ -75,7 +75,7 @@
 /// What discovery answered, and whether early (see `schedule`).
 struct News {
     kind: ListKind,
-    listed: Vec<Listed>,
+    listed: Vec<EndpointRecord>,
     early: bool,
 }
 
@@ -314,7 +314,7 @@
     }
 
     /// An answer in the core's terms; one by which the list held would be lost is refused.
-    fn parsed(&self, body: &[u8]) -> io::Result<(Answer, (ListKind, Vec<Listed>))> {
+    fn parsed(&self, body: &[u8]) -> io::Result<(Answer, (ListKind, Vec<EndpointRecord>))> {
         let answer: Answer = serde_json::from_slice(body)?;
         let listed = answer.listed(&self.names).map_err(io::Error::other)?;
         if answer.reset && listed.1.is_empty() && self.sidecar.has_targets() {
--- a/crates/net/src/list/answer.rs
+++ b/crates/net/src/list/answer.rs
@@ -1,6 +1,6 @@
 //! Discovery's answer, read into the core's terms.
 
-use cottonpoint_core::{Lifecycle, Listed, endpoint_id};
+use cottonpoint_core::{EndpointRecord, Lifecycle, endpoint_id};
 use cottonpoint_decide::*;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
 
 impl Answer {
     /// The answer in the core's terms; an unknown lifecycle makes it a bad one.
-    pub fn listed(&self, names: &Names) -> Result<(ListKind, Vec<Listed>), String> {
+    pub fn listed(&self, names: &Names) -> Result<(ListKind, Vec<EndpointRecord>), String> {
         let kind = if self.reset { ListKind::Full } else { ListKind::Delta };
         let lines = self.instances.iter().map(|line| {
             let lifecycle = match line.lifecycle.as_str() {
@@ -57,7 +57,7 @@
                 "left" => Lifecycle::Left,
                 other => return Err(format!("unknown lifecycle {other}")),
             };
-            Ok(Listed {
+            Ok(EndpointRecord {
                 id: endpoint_id(&line.instance_id),
                 address: line.host_port,
                 zone: ZoneId(position(&names.zones, &line.zone)),
