--- a/crates/core/src/admit.rs
+++ b/crates/core/src/admit.rs
@@ -7,17 +7,17 @@
 
 /// The properties of a request that the balancer needs.
 #[derive(Clone, Copy, Debug)]
-pub struct NewFlow {
+pub struct NewRequest {
     /// Class of the request.
     pub class: ClassId,
     /// Tenant, if the request names one.
     pub tenant: Option<TenantId>,
     /// Time by which the answer must be on its way to the client.
-    pub due: Time,
+    pub deadline: Time,
 }
 
 /// Handle of an admitted request. Dropping it ends the request; no answer is owed after that.
-pub struct Flow {
+pub struct RequestHandle {
     pub(super) sidecar: Rc<Sidecar>,
     pub(super) id: RequestId,
     pub(super) decisions: Receiver<Decision>,
@@ -25,7 +25,7 @@
 
 impl Sidecar {
     /// Admits a request and hands it to the balancer.
-    pub fn admit(self: &Rc<Self>, new: NewFlow) -> Flow {
+    pub fn admit(self: &Rc<Self>, new: NewRequest) -> RequestHandle {
         let id = RequestId(self.next_request_id.get());
         self.next_request_id.set(id.0 + 1);
         let (sender, decisions) = async_channel::unbounded();
@@ -35,16 +35,16 @@
             RequestState { settings_version, decisions: sender, attempts: Vec::new(), closed: false };
         core.requests.insert(id, entry);
         drop(core);
-        let call = Call { id, class: new.class, tenant: new.tenant, due: new.due, cost: None };
+        let call = Call { id, class: new.class, tenant: new.tenant, due: new.deadline, cost: None };
         self.counts.count_admitted();
         self.feed(Event::Arrived(call));
-        Flow { sidecar: self.clone(), id, decisions }
+        RequestHandle { sidecar: self.clone(), id, decisions }
     }
 }
 
-impl Drop for Flow {
+impl Drop for RequestHandle {
     fn drop(&mut self) {
-        self.depart();
+        self.abandon();
         // Attempts that were never taken from the queue report their outcome when dropped, which
         // borrows the core; so drop them before the core is borrowed below.
         while let Ok(decision) = self.decisions.try_recv() {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,7 +2,7 @@
 //! ids and the life cycle of requests; it feeds events to the balancer and performs the actions
 //! that the balancer returns.
 //!
-//! A protocol front end reads a request, calls [`Sidecar::admit`] and then awaits [`Flow::route`]
+//! A protocol front end reads a request, calls [`Sidecar::admit`] and then awaits [`RequestHandle::next_decision`]
 //! in a loop. It sends each [`Attempt`] to its endpoint and reports the outcome, until a decision
 //! ends the request.
 
@@ -17,7 +17,7 @@
 mod stop;
 mod targets;
 
-pub use admit::{Flow, NewFlow};
+pub use admit::{NewRequest, RequestHandle};
 pub use book::Attempt;
 pub use clock::Clock;
 pub use counts::{ClassCounts, Counts, RequestOutcome};
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -1,6 +1,6 @@
 //! Routing: the balancer's decisions for a request, delivered one after another.
 
-use super::{Attempt, Core, Flow, Sidecar};
+use super::{Attempt, Core, RequestHandle, Sidecar};
 use cottonpoint_decide::*;
 use std::rc::Rc;
 use std::time::Duration;
@@ -36,15 +36,15 @@
     Ended,
 }
 
-impl Flow {
+impl RequestHandle {
     /// Waits for the next decision. After a final answer, or once the client has gone, it is always
     /// [`Decision::Ended`].
-    pub async fn route(&self) -> Decision {
+    pub async fn next_decision(&self) -> Decision {
         self.decisions.recv().await.unwrap_or(Decision::Ended)
     }
 
     /// Reports that the client has gone. The balancer then cancels the attempts under way.
-    pub fn depart(&self) {
+    pub fn abandon(&self) {
         let mut core = self.sidecar.core.borrow_mut();
         if let Some(entry) = core.requests.get_mut(&self.id)
             && !std::mem::replace(&mut entry.closed, true)
--- a/crates/net/src/clients/flow.rs
+++ b/crates/net/src/clients/flow.rs
@@ -5,7 +5,7 @@
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http::Head;
-use cottonpoint_core::{Decision, LocalReply, NewFlow, RequestOutcome};
+use cottonpoint_core::{Decision, LocalReply, NewRequest, RequestOutcome};
 use futures_lite::future;
 use std::net::TcpStream;
 use std::time::Duration;
@@ -101,19 +101,20 @@
         let class = taken.class_name.as_str();
         let due = clock.now() + taken.left.saturating_sub(TRAVEL);
         let due = self.stop.get().map_or(due, |stop| stop.due(due));
-        let flow = self.sidecar.admit(NewFlow { class: taken.class, tenant: taken.tenant, due });
+        let flow =
+            self.sidecar.admit(NewRequest { class: taken.class, tenant: taken.tenant, deadline: due });
         let caller = Caller::new(stream, buffer);
         // Whoever has gone gets nothing more begun, also where its close and the word to send come at once.
         let waits = || {
             let gone = caller.has_gone();
             if gone {
-                flow.depart();
+                flow.abandon();
             }
             !gone
         };
         let stages = async {
             loop {
-                match flow.route().await {
+                match flow.next_decision().await {
                     Decision::Attempt(attempt) => {
                         let until = clock.instant(attempt.until);
                         let written = || self.sidecar.counts().relayed(class);
@@ -142,12 +143,12 @@
         };
         let departure = async {
             caller.gone().await;
-            flow.depart();
+            flow.abandon();
             future::pending().await
         };
         let overdue = async {
             Timer::at(clock.instant(due + OVERDUE)).await;
-            flow.depart();
+            flow.abandon();
             Some(Reply::fixed(LocalReply::Failed))
         };
         let reply = future::or(departure, future::or(stages, overdue)).await;
--- a/crates/program/tests/sidecar/local_faults.rs
+++ b/crates/program/tests/sidecar/local_faults.rs
@@ -7,7 +7,7 @@
 use crate::peers::*;
 use crate::repeats::narrow;
 use cottonpoint::net::servers::Outgoing;
-use cottonpoint::sidecar::{Decision, NewFlow};
+use cottonpoint::sidecar::{Decision, NewRequest};
 use cottonpoint::{ClassId, Outcome};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -26,10 +26,10 @@
 ) -> Outcome {
     let embedded = Embedded::new(&[line("t0", endpoint, "active")], connections, connect_timeout);
     let due = embedded.sidecar.clock().now() + ms(3000);
-    let flow = embedded.sidecar.admit(NewFlow { class: ClassId(0), tenant: None, due });
+    let flow = embedded.sidecar.admit(NewRequest { class: ClassId(0), tenant: None, deadline: due });
     let message = Outgoing { head: "GET /look HTTP/1.1\r\n".to_owned(), body: Vec::new() };
     embedded.run(async {
-        let Decision::Attempt(attempt) = flow.route().await else { panic!("it is sent") };
+        let Decision::Attempt(attempt) = flow.next_decision().await else { panic!("it is sent") };
         let until = Instant::now() + given_up;
         let (outcome, ..) = embedded.servers.send(&attempt, until, &message, || true, || ()).await;
         attempt.book(outcome, None);
