--- a/crates/core/src/book.rs
+++ b/crates/core/src/book.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One attempt of a request at an endpoint. Its outcome is reported once: by [`Attempt::book`], or
+/// One attempt of a request at an endpoint. Its outcome is reported once: by [`Attempt::complete`], or
 /// as cancelled if it is dropped before.
 pub struct Attempt {
     sidecar: Rc<Sidecar>,
@@ -16,7 +16,7 @@
     /// The endpoint that it goes to.
     pub endpoint: EndpointAddress,
     /// Time at which the attempt is abandoned.
-    pub until: Time,
+    pub deadline: Time,
     sent_at: Time,
     aborted: Receiver<AbortReason>,
     completed: bool,
@@ -28,14 +28,14 @@
         request: RequestId,
         number: u8,
         endpoint: EndpointAddress,
-        until: Time,
+        deadline: Time,
         aborted: Receiver<AbortReason>,
     ) -> Attempt {
         let sent_at = sidecar.clock.now();
-        Attempt { sidecar, request, number, endpoint, until, sent_at, aborted, completed: false }
+        Attempt { sidecar, request, number, endpoint, deadline, sent_at, aborted, completed: false }
     }
 
-    /// Waits until the attempt should be aborted.
+    /// Waits deadline the attempt should be aborted.
     pub async fn aborted(&self) -> AbortReason {
         self.aborted.recv().await.unwrap_or(AbortReason::Cancelled)
     }
@@ -54,7 +54,7 @@
             client_waits,
             request_open,
             repeatable,
-            until: self.until,
+            deadline: self.deadline,
             endpoint: sidecar.core.borrow().endpoint_list.standing(self.endpoint.id),
             list_valid: sidecar.lease.borrow().is_valid(now),
         };
@@ -76,11 +76,11 @@
 
     /// Checks, by the clock read after the first byte was written, whether the attempt violated a
     /// rule.
-    pub fn check_begun(&self) {
+    pub fn check_started(&self) {
         let sidecar = &self.sidecar;
         let now = sidecar.clock.now();
         let list_violated = sidecar.lease.borrow().is_violated(now);
-        if let Some(violation) = sidecar.guard.check_begun(now, self.until, list_violated) {
+        if let Some(violation) = sidecar.guard.check_started(now, self.deadline, list_violated) {
             let (age, _) = sidecar.list_age();
             tracing::error!(
                 flow = self.request.0,
@@ -94,13 +94,13 @@
     }
 
     /// Whether the endpoint still accepts new attempts.
-    pub fn wanted(&self) -> bool {
+    pub fn endpoint_takes_work(&self) -> bool {
         self.sidecar.takes_work(self.endpoint.id)
     }
 
     /// Reports the outcome to the balancer. Returns whether this attempt's answer is the one to
     /// pass on to the client.
-    pub fn book(mut self, outcome: Outcome, report: Option<LoadReport>) -> bool {
+    pub fn complete(mut self, outcome: Outcome, report: Option<LoadReport>) -> bool {
         self.finish(outcome, report)
     }
 
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -117,7 +117,7 @@
     /// time.
     pub repeatable: bool,
     /// Time at which the attempt is abandoned.
-    pub until: Time,
+    pub deadline: Time,
     /// Status of the endpoint.
     pub endpoint: EndpointStanding,
     /// Whether the lease on the endpoint list is valid.
@@ -138,7 +138,7 @@
         let deny_unless = |denial, allowed: bool| (!allowed).then_some(denial);
         deny_unless(Denial::ClientGone, self.client_waits)
             .or(deny_unless(Denial::RequestOver, self.request_open))
-            .or(deny_unless(Denial::OutOfTime, now < self.until))
+            .or(deny_unless(Denial::OutOfTime, now < self.deadline))
             .or(endpoint)
             .or(deny_unless(Denial::NotRepeatable, self.repeatable))
     }
@@ -165,11 +165,11 @@
 
     /// Checks an attempt after its first byte was written; `now` must have been read after the
     /// write.
-    pub fn check_begun(&self, now: Time, until: Time, list_violated: bool) -> Option<Violation> {
+    pub fn check_started(&self, now: Time, deadline: Time, list_violated: bool) -> Option<Violation> {
         if list_violated {
             return Some(self.violation(Violation::SentOnExpiredList));
         }
-        (now > until + MAX_STALL).then(|| self.violation(Violation::SentOutOfTime))
+        (now > deadline + MAX_STALL).then(|| self.violation(Violation::SentOutOfTime))
     }
 
     /// Whether a client's connection may be closed without an answer to a request that was read:
--- a/crates/core/src/guard/tests.rs
+++ b/crates/core/src/guard/tests.rs
@@ -9,7 +9,7 @@
         client_waits: true,
         request_open: true,
         repeatable: true,
-        until: NOW + Duration::from_secs(1),
+        deadline: NOW + Duration::from_secs(1),
         endpoint: EndpointStanding::Active,
         list_valid: true,
     }
@@ -22,7 +22,7 @@
         (AttemptFacts { client_waits: false, ..allowed() }, Denial::ClientGone),
         (AttemptFacts { request_open: false, ..allowed() }, Denial::RequestOver),
         (AttemptFacts { repeatable: false, ..allowed() }, Denial::NotRepeatable),
-        (AttemptFacts { until: NOW, ..allowed() }, Denial::OutOfTime),
+        (AttemptFacts { deadline: NOW, ..allowed() }, Denial::OutOfTime),
         (AttemptFacts { list_valid: false, ..allowed() }, Denial::ListExpired),
         (AttemptFacts { endpoint: EndpointStanding::Leaving, ..allowed() }, Denial::EndpointLeaving),
         (AttemptFacts { endpoint: EndpointStanding::Unlisted, ..allowed() }, Denial::EndpointGone),
@@ -48,7 +48,7 @@
         ..allowed()
     };
     assert_eq!(Guard::default().may_write(NOW, facts), Ok(()));
-    let late = AttemptFacts { until: NOW, ..facts };
+    let late = AttemptFacts { deadline: NOW, ..facts };
     assert_eq!(Guard::default().may_write(NOW, late), Err(Denial::OutOfTime));
 }
 
@@ -56,12 +56,12 @@
 #[test]
 fn violations_are_detected_and_counted() {
     let guard = Guard::default();
-    let until = NOW + Duration::from_millis(100);
-    assert_eq!(guard.check_begun(NOW, until, false), None);
-    assert_eq!(guard.check_begun(until + MAX_STALL, until, false), None);
-    assert_eq!(guard.check_begun(NOW, until, true), Some(Violation::SentOnExpiredList));
-    let late = until + MAX_STALL + Duration::from_millis(1);
-    assert_eq!(guard.check_begun(late, until, false), Some(Violation::SentOutOfTime));
+    let deadline = NOW + Duration::from_millis(100);
+    assert_eq!(guard.check_started(NOW, deadline, false), None);
+    assert_eq!(guard.check_started(deadline + MAX_STALL, deadline, false), None);
+    assert_eq!(guard.check_started(NOW, deadline, true), Some(Violation::SentOnExpiredList));
+    let late = deadline + MAX_STALL + Duration::from_millis(1);
+    assert_eq!(guard.check_started(late, deadline, false), Some(Violation::SentOutOfTime));
     assert_eq!(guard.may_close_unanswered(false), Ok(()));
     assert_eq!(guard.may_close_unanswered(true), Err(Violation::ClosedWithoutAnswer));
     assert!(guard.violations().all(|(_, count)| count == 1));
--- a/crates/net/src/clients/flow.rs
+++ b/crates/net/src/clients/flow.rs
@@ -116,13 +116,13 @@
             loop {
                 match flow.next_decision().await {
                     Decision::Attempt(attempt) => {
-                        let until = clock.instant(attempt.until);
+                        let until = clock.instant(attempt.deadline);
                         let written = || self.sidecar.counts().relayed(class);
                         let (outcome, report, served) =
                             self.servers.send(&attempt, until, &taken.outgoing, waits, written).await;
                         let endpoint = attempt.endpoint.address;
                         tracing::debug!(id = taken.id, class, %endpoint, ?outcome, "an attempt has ended");
-                        if attempt.book(outcome, report) {
+                        if attempt.complete(outcome, report) {
                             return Some(Reply::served(served));
                         }
                     }
--- a/crates/net/src/servers/send.rs
+++ b/crates/net/src/servers/send.rs
@@ -117,7 +117,7 @@
         };
         let exchange = self.exchange(attempt, until, message, &progress, waits, written);
         let ended = future::or(exchange, future::or(halted, timeout)).await;
-        if attempt.wanted() {
+        if attempt.endpoint_takes_work() {
             self.heard(attempt.endpoint.id, ended.0);
         }
         ended
@@ -151,7 +151,7 @@
         let bytes = serialize(message, until);
         // Right before each byte: what was not written whole never ran, so it may be given up at any but the last.
         let may_write = || attempt.may_write(progress.get().has_begun(), waits(), way);
-        let begun = || attempt.check_begun();
+        let begun = || attempt.check_started();
         match write(&connection, &bytes, progress, may_write, begun).await {
             Ok(()) => {}
             Err(NotWritten::Broken(why)) => return failed(not_connected(&why)),
@@ -174,7 +174,7 @@
             Err(_) => return failed(Outcome::Error),
         };
         // What came behind the answer belongs to no request; nor does a target that has left need connections.
-        if keep && connection.buffer.is_empty() && attempt.wanted() {
+        if keep && connection.buffer.is_empty() && attempt.endpoint_takes_work() {
             self.put(target.id, connection);
         }
         let outcome = match status {
--- a/crates/program/tests/sidecar/local_faults.rs
+++ b/crates/program/tests/sidecar/local_faults.rs
@@ -32,7 +32,7 @@
         let Decision::Attempt(attempt) = flow.next_decision().await else { panic!("it is sent") };
         let until = Instant::now() + given_up;
         let (outcome, ..) = embedded.servers.send(&attempt, until, &message, || true, || ()).await;
-        attempt.book(outcome, None);
+        attempt.complete(outcome, None);
         outcome
     })
 }
