--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -155,14 +155,14 @@
     }
 
     /// Number of requests that were admitted and have not ended.
-    pub fn open_flows(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.core.borrow().requests.len()
     }
 
     /// Applies new settings to requests admitted from now on. Open requests keep the settings and
     /// the balancer under which they were admitted, until the last of them ends. The new balancer
     /// starts with the current endpoint list, as at process start.
-    pub fn retune(self: &Rc<Self>, settings: Settings) {
+    pub fn reload_settings(self: &Rc<Self>, settings: Settings) {
         self.discovery.set(settings.discovery);
         let settings_version = {
             let mut core = self.core.borrow_mut();
@@ -205,7 +205,7 @@
             if room { core.pending.take() } else { None }
         };
         if let Some(settings) = pending {
-            self.retune(settings);
+            self.reload_settings(settings);
         }
     }
 
--- a/crates/program/src/console.rs
+++ b/crates/program/src/console.rs
@@ -103,7 +103,7 @@
         json!({
             "operations": operations,
             "relayed": relayed,
-            "open_requests": self.sidecar.open_flows(),
+            "open_requests": self.sidecar.open_requests(),
             "registry_entries": listed,
             "out_of_rotation": out_of_rotation,
             "cfg_accepted": accepted,
--- a/crates/program/src/serve.rs
+++ b/crates/program/src/serve.rs
@@ -176,7 +176,7 @@
                     counts.counts().configuration(true);
                     if config.platform != current.platform {
                         // Open flows keep the rules that they came in with; new ones take these.
-                        counts.retune(config.platform.balancer.clone());
+                        counts.reload_settings(config.platform.balancer.clone());
                         bounded.set_platform(config.platform.clone());
                         *classes.borrow_mut() = config.platform.classes.clone();
                     }
