--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -14,7 +14,7 @@
 
 impl Sidecar {
     /// Applies the list that the process is started with, which is as old as the process.
-    pub fn listed(self: &Rc<Self>, kind: ListKind, entries: &[EndpointRecord]) {
+    pub fn apply_list(self: &Rc<Self>, kind: ListKind, entries: &[EndpointRecord]) {
         let endpoints = {
             let mut core = self.core.borrow_mut();
             let endpoints = core.endpoint_list.update(kind, entries, &self.clock);
@@ -27,7 +27,7 @@
 
     /// Applies discovery's answer to a poll that began at `begun`, and acts on it at once: an
     /// attempt that has not started is aborted if its endpoint accepts no new attempts.
-    pub fn answered(self: &Rc<Self>, kind: ListKind, entries: &[EndpointRecord], begun: Time) {
+    pub fn apply_answer(self: &Rc<Self>, kind: ListKind, entries: &[EndpointRecord], begun: Time) {
         let now = self.clock.now();
         let as_of = match self.lease.borrow().is_pushed() {
             true => now,
@@ -35,7 +35,7 @@
         };
         self.lease.borrow_mut().observe(now, PollEvent::Answered { as_of });
         let renewed = self.lease.borrow().is_valid(now) && self.set_suspended(false);
-        self.listed(kind, entries);
+        self.apply_list(kind, entries);
         if renewed {
             self.feed_suspension();
         }
@@ -43,7 +43,7 @@
     }
 
     /// Records how a poll began or failed.
-    pub fn polled(self: &Rc<Self>, event: PollEvent) {
+    pub fn record_poll(self: &Rc<Self>, event: PollEvent) {
         self.lease.borrow_mut().observe(self.clock.now(), event);
         self.check_lease();
         let _ = self.lease_changed.0.try_send(());
--- a/crates/lab/src/scale/host/hollow.rs
+++ b/crates/lab/src/scale/host/hollow.rs
@@ -77,7 +77,7 @@
             Sidecar::new(platform.balancer.clone(), config.seed, Clock::start(), self.executor.clone());
         let servers = Servers::new(terms(&config), self.executor.clone());
         // The balancer comes to life with its first event.
-        sidecar.listed(ListKind::Full, &[]);
+        sidecar.apply_list(ListKind::Full, &[]);
         let (moves, moved) = async_channel::bounded(1);
         let follower = Watcher {
             sidecar: sidecar.clone(),
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -170,7 +170,7 @@
     /// Begins a poll, on the connection that was kept, if any.
     fn begin(&mut self, schedule: &Schedule, kept: Option<Connection>) -> Poll {
         let hold = schedule.hold(self.generation.is_none());
-        self.sidecar.polled(PollEvent::Begun { hold });
+        self.sidecar.record_poll(PollEvent::Begun { hold });
         let request = Request {
             address: self.discovery.address,
             generation: self.generation,
@@ -214,7 +214,7 @@
         schedule: &mut Schedule,
         last_logged: &mut LastLogged,
     ) -> NextPoll {
-        self.sidecar.polled(evidence(*outcome, took));
+        self.sidecar.record_poll(evidence(*outcome, took));
         self.sidecar.counts().poll_failed(outcome.name());
         let is_new = last_logged.changes_to(&why.to_string());
         if *outcome == Outcome::NotMade {
@@ -258,7 +258,7 @@
             tracing::info!(generation, lines, ?kind, took_ms = took.as_millis() as u64, "discovery told");
         }
         let begun = self.sidecar.clock().now() - took;
-        self.sidecar.answered(kind, &listed, begun);
+        self.sidecar.apply_answer(kind, &listed, begun);
         self.servers.keep_only(|target| self.sidecar.takes_work(target));
     }
 
@@ -266,7 +266,7 @@
     /// was missed at a fraction of the cost of the whole list; should they be others, the short first one shows it. The
     /// place held is named again where its list is wanted at once.
     fn move_to(&mut self, place: Place) -> (Schedule, NextPoll) {
-        self.sidecar.polled(PollEvent::Moved);
+        self.sidecar.record_poll(PollEvent::Moved);
         if std::mem::replace(&mut self.discovery, place) == place {
             Schedule::at_once(place.pushed)
         } else {
@@ -309,7 +309,7 @@
         let (generation, lines) = (answer.generation, listed.len());
         tracing::info!(generation, lines, ?kind, "discovery told, at the place before");
         self.generation = Some(generation);
-        self.sidecar.listed(kind, &listed);
+        self.sidecar.apply_list(kind, &listed);
         self.servers.keep_only(|target| self.sidecar.takes_work(target));
     }
 
--- a/crates/net/src/list/poll.rs
+++ b/crates/net/src/list/poll.rs
@@ -128,7 +128,7 @@
             None => self.connect(begun).await?,
         };
         sent.set(true);
-        self.sidecar.polled(PollEvent::Connected);
+        self.sidecar.record_poll(PollEvent::Connected);
         let (status, body, keep) = self.exchange(&mut connection, begun.get()).await?;
         if status != 200 {
             let outcome = if status == UNAVAILABLE { Outcome::TurnedAway } else { Outcome::Unusable };
--- a/crates/program/src/serve.rs
+++ b/crates/program/src/serve.rs
@@ -109,7 +109,7 @@
     // The balancer comes to life with its first event: it is told of an empty list too.
     let known = config.known.as_ref().and_then(|k| k.listed(&names).ok());
     let (kind, listed) = known.unwrap_or((ListKind::Full, Vec::new()));
-    sidecar.listed(kind, &listed);
+    sidecar.apply_list(kind, &listed);
     let generation = config.known.as_ref().map(|k| k.generation);
     let (moves, moved) = async_channel::unbounded();
     let watcher = Watcher {
--- a/crates/program/tests/sidecar/embedded.rs
+++ b/crates/program/tests/sidecar/embedded.rs
@@ -38,7 +38,7 @@
         let names = Names { zones: platform.zones, kinds: platform.kinds };
         let known = config.known.expect("a list");
         let (kind, listed) = known.listed(&names).expect("a good list");
-        sidecar.listed(kind, &listed);
+        sidecar.apply_list(kind, &listed);
         Embedded { executor, sidecar, servers, names }
     }
 
