--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -172,14 +172,14 @@
     /// Takes an endpoint offline (`offline`) or puts it back online. An offline endpoint gets no
     /// new attempts, and an attempt that has not started is aborted. The balancer sees a drain or a
     /// return of the endpoint.
-    pub fn set_out(self: &Rc<Self>, id: EndpointId, out: bool) -> Result<(), UnknownEndpoint> {
-        self.change_offline(|list| list.set_out(id, out))
+    pub fn set_offline(self: &Rc<Self>, id: EndpointId, offline: bool) -> Result<(), UnknownEndpoint> {
+        self.change_offline(|list| list.set_offline(id, offline))
     }
 
     /// Takes an endpoint offline that an earlier process of this sidecar had taken offline, whether
     /// listed or not.
-    pub fn restore_out(self: &Rc<Self>, id: EndpointId) {
-        let _ = self.change_offline(|list| Ok(list.restore_out(id)));
+    pub fn restore_offline(self: &Rc<Self>, id: EndpointId) {
+        let _ = self.change_offline(|list| Ok(list.restore_offline(id)));
     }
 
     fn change_offline(
@@ -199,8 +199,8 @@
     }
 
     /// The endpoints taken offline by an operator.
-    pub fn taken_out(&self) -> Vec<EndpointId> {
-        self.core.borrow().endpoint_list.taken_out().collect()
+    pub fn offline_endpoints(&self) -> Vec<EndpointId> {
+        self.core.borrow().endpoint_list.offline_endpoints().collect()
     }
 
     /// Number of listed endpoints, and of those among them that get no new attempts.
--- a/crates/core/src/targets.rs
+++ b/crates/core/src/targets.rs
@@ -113,7 +113,7 @@
     }
 
     /// The endpoints taken offline, listed or not.
-    pub fn taken_out(&self) -> impl Iterator<Item = EndpointId> + '_ {
+    pub fn offline_endpoints(&self) -> impl Iterator<Item = EndpointId> + '_ {
         self.offline.iter().copied()
     }
 
@@ -182,16 +182,20 @@
 
     /// Takes an endpoint offline that an earlier process of this sidecar had taken offline, listed
     /// or not.
-    pub fn restore_out(&mut self, id: EndpointId) -> Option<Endpoint> {
+    pub fn restore_offline(&mut self, id: EndpointId) -> Option<Endpoint> {
         self.record_seen(id);
-        self.set_out(id, true).ok().flatten()
+        self.set_offline(id, true).ok().flatten()
     }
 
     /// Takes an endpoint offline or puts it back online. Returns the change for the balancer:
     /// `None` if the endpoint is not on the list now, or was in that state already. Fails for an
     /// endpoint that was never listed; one that is offline is known even after its identity was
     /// forgotten.
-    pub fn set_out(&mut self, id: EndpointId, offline: bool) -> Result<Option<Endpoint>, UnknownEndpoint> {
+    pub fn set_offline(
+        &mut self,
+        id: EndpointId,
+        offline: bool,
+    ) -> Result<Option<Endpoint>, UnknownEndpoint> {
         if !self.seen.contains(&id) && !self.offline.contains(&id) {
             return Err(UnknownEndpoint::NeverListed);
         }
--- a/crates/program/src/console.rs
+++ b/crates/program/src/console.rs
@@ -30,7 +30,7 @@
     /// Takes out again what an earlier process had taken out.
     pub fn restore(&self) {
         for name in self.out.names() {
-            self.sidecar.restore_out(endpoint_id(&name));
+            self.sidecar.restore_offline(endpoint_id(&name));
         }
     }
 
@@ -38,10 +38,10 @@
     pub fn follow_file(&self) {
         let Some((taken_out, put_back)) = self.out.changed() else { return };
         for name in taken_out {
-            self.sidecar.restore_out(endpoint_id(&name));
+            self.sidecar.restore_offline(endpoint_id(&name));
         }
         for name in put_back {
-            let _ = self.sidecar.set_out(endpoint_id(&name), false);
+            let _ = self.sidecar.set_offline(endpoint_id(&name), false);
         }
     }
 
@@ -80,7 +80,7 @@
     }
 
     fn set_out(&self, name: &str, out: bool) -> String {
-        if self.sidecar.set_out(endpoint_id(name), out).is_err() {
+        if self.sidecar.set_offline(endpoint_id(name), out).is_err() {
             return answer_line(Err(format!("no endpoint {} was ever listed", name.escape_debug())));
         }
         self.out.set(name, out);
