--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -155,12 +155,12 @@
 
 impl Sidecar {
     /// Number of listed endpoints that accept new attempts.
-    pub fn targets_that_take_work(&self) -> usize {
+    pub fn available_endpoints(&self) -> usize {
         self.core.borrow().endpoint_list.available_count()
     }
 
     /// Whether the list contains any endpoint, in whatever state.
-    pub fn has_targets(&self) -> bool {
+    pub fn has_endpoints(&self) -> bool {
         !self.core.borrow().endpoint_list.is_empty()
     }
 
--- a/crates/net/src/clients/flow.rs
+++ b/crates/net/src/clients/flow.rs
@@ -26,7 +26,7 @@
     ) -> Option<Reply> {
         if head.line[1] == "/health/ready" {
             let ready = !self.leaving() && self.stop.get().is_none();
-            return Some(match ready && self.sidecar.has_targets() {
+            return Some(match ready && self.sidecar.has_endpoints() {
                 true => Reply::plain(200, "ready"),
                 false => Reply::plain(503, "not ready"),
             });
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -317,7 +317,7 @@
     fn parsed(&self, body: &[u8]) -> io::Result<(Answer, (ListKind, Vec<EndpointRecord>))> {
         let answer: Answer = serde_json::from_slice(body)?;
         let listed = answer.listed(&self.names).map_err(io::Error::other)?;
-        if answer.reset && listed.1.is_empty() && self.sidecar.has_targets() {
+        if answer.reset && listed.1.is_empty() && self.sidecar.has_endpoints() {
             return Err(io::Error::other("an empty list in place of one with targets"));
         }
         Ok((answer, listed))
--- a/crates/program/src/metrics.rs
+++ b/crates/program/src/metrics.rs
@@ -112,11 +112,7 @@
         registry.register("list_lease_seconds", "Time for which the list may still be used", seconds(left));
         registry.register("client_connections", "Open client connections", gauge(self.clients.open()));
         registry.register("target_connections", "Open connections to targets", gauge(self.servers.open()));
-        registry.register(
-            "targets",
-            "Targets that take work",
-            gauge(self.sidecar.targets_that_take_work()),
-        );
+        registry.register("targets", "Targets that take work", gauge(self.sidecar.available_endpoints()));
         if let Some(fleet) = self.fleet.as_ref().and_then(|fleet| fleet.handle()) {
             let [members, datagrams] = fleet::counted(fleet);
             let gauges = Family::<Stands, Gauge>::default();
