--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollEvent {
     /// A poll starts. It may have to connect first; discovery then holds it for up to `hold`.
-    Begun {
+    Started {
         /// Time for which discovery may hold the poll open until there is a change; zero for a poll
         /// that is not a watch.
         hold: Duration,
@@ -70,20 +70,20 @@
         as_of: Time,
     },
     /// Discovery rejected the poll at once: it is up, but has no capacity.
-    Rejected,
+    RejectedAtOnce,
     /// Discovery rejected the poll or closed the connection after a wait: it is down, or the poll
     /// was queued for too long.
-    TurnedAway,
+    RejectedAfterWait,
     /// No connection was established: discovery could not be reached when the poll began.
     Unreachable,
     /// The poll failed in a way that says nothing about discovery: a fault of this process or of
     /// the network path, a connection that was closed at once, or an unusable answer. If it was not
     /// connected, it does not count as a poll.
-    Broken,
+    Inconclusive,
     /// Nothing was received in time.
-    Silent,
+    TimedOut,
     /// A reload names another discovery; the poll in progress is dropped.
-    Moved,
+    DiscoveryChanged,
 }
 
 /// A poll in progress.
@@ -212,16 +212,16 @@
     /// Records how a poll began or ended.
     pub fn observe(&mut self, now: Time, event: PollEvent) {
         match event {
-            PollEvent::Begun { hold } => return self.on_begun(now, hold),
+            PollEvent::Started { hold } => return self.on_started(now, hold),
             PollEvent::Connected => return self.on_connected(now),
-            PollEvent::Broken if self.poll.is_some_and(|poll| !poll.sent) => return self.poll = None,
+            PollEvent::Inconclusive if self.poll.is_some_and(|poll| !poll.sent) => return self.poll = None,
             PollEvent::Answered { as_of } => self.on_answered(as_of),
-            PollEvent::Rejected => self.on_rejected(now),
-            PollEvent::TurnedAway => self.on_rejected_after_wait(now),
+            PollEvent::RejectedAtOnce => self.on_rejected(now),
+            PollEvent::RejectedAfterWait => self.on_rejected_after_wait(now),
             PollEvent::Unreachable => self.on_unreachable(now),
-            PollEvent::Broken => drop(self.ended_while_established(now)),
-            PollEvent::Silent => self.on_silent(now),
-            PollEvent::Moved => self.on_discovery_changed(now),
+            PollEvent::Inconclusive => drop(self.ended_while_established(now)),
+            PollEvent::TimedOut => self.on_timed_out(now),
+            PollEvent::DiscoveryChanged => self.on_discovery_changed(now),
         }
         let failed = !matches!(event, PollEvent::Answered { .. });
         self.last_poll = LastPoll { at: now, failed };
@@ -281,7 +281,7 @@
         self.notified_at = self.notified_at.max(notified_at);
     }
 
-    fn on_begun(&mut self, now: Time, hold: Duration) {
+    fn on_started(&mut self, now: Time, hold: Duration) {
         self.keep_expired(now);
         self.poll = Some(Poll { begun: now, hold, sent: false, continues: false });
     }
@@ -355,7 +355,7 @@
         self.extend(begun + self.notified_after());
     }
 
-    fn on_silent(&mut self, now: Time) {
+    fn on_timed_out(&mut self, now: Time) {
         match self.poll {
             Some(watch) if self.established_watch(now).is_some() => self.extend(watch.notified_if_silent()),
             // An agent that is cut off from discovery sends nothing and learns of no changes.
--- a/crates/core/src/lease/tests.rs
+++ b/crates/core/src/lease/tests.rs
@@ -24,11 +24,11 @@
     }
 
     fn watch(self, ms: u64) -> Timeline {
-        self.then(ms, PollEvent::Begun { hold: HOLD }).then(ms, PollEvent::Connected)
+        self.then(ms, PollEvent::Started { hold: HOLD }).then(ms, PollEvent::Connected)
     }
 
     fn poll(self, ms: u64) -> Timeline {
-        self.then(ms, PollEvent::Begun { hold: Duration::ZERO }).then(ms, PollEvent::Connected)
+        self.then(ms, PollEvent::Started { hold: Duration::ZERO }).then(ms, PollEvent::Connected)
     }
 
     fn answered(self, ms: u64) -> Timeline {
@@ -63,13 +63,14 @@
 #[test]
 fn polls_rejected_at_once_do_not_extend_the_lease() {
     let mut lease = Timeline::begin(ON_REQUEST).poll(12_487).answered(12_811).watch(12_811);
-    lease = lease.then(13_271, PollEvent::Moved);
+    lease = lease.then(13_271, PollEvent::DiscoveryChanged);
     for n in 0..24 {
-        lease = lease.poll(14_239 + 350 * n).then(14_245 + 350 * n, PollEvent::Rejected);
+        lease = lease.poll(14_239 + 350 * n).then(14_245 + 350 * n, PollEvent::RejectedAtOnce);
     }
     // Four seconds after the reload; without one, six seconds after the answer.
     assert_eq!(lease.expires(), 13_271 + 4000 + USABLE_GRACE_MS);
-    let lease = Timeline::begin(ON_REQUEST).poll(0).answered(800).watch(800).then(806, PollEvent::Rejected);
+    let lease =
+        Timeline::begin(ON_REQUEST).poll(0).answered(800).watch(800).then(806, PollEvent::RejectedAtOnce);
     assert_eq!(lease.expires(), 6800 + USABLE_GRACE_MS);
 }
 
@@ -80,14 +81,14 @@
     let refused = Timeline::begin(ON_REQUEST).poll(5000).then(5001, PollEvent::Unreachable);
     assert_eq!(refused.expires(), 11_000 + USABLE_GRACE_MS);
     // At the start nothing has shown that discovery is up.
-    let waited = Timeline::begin(ON_REQUEST).poll(1400).then(3400, PollEvent::TurnedAway);
+    let waited = Timeline::begin(ON_REQUEST).poll(1400).then(3400, PollEvent::RejectedAfterWait);
     assert_eq!(waited.expires(), 7400 + USABLE_GRACE_MS);
-    let waited = waited.poll(5800).then(7800, PollEvent::TurnedAway);
+    let waited = waited.poll(5800).then(7800, PollEvent::RejectedAfterWait);
     assert_eq!(waited.expires(), 11_800 + USABLE_GRACE_MS);
     // Discovery is up again, without capacity: changes from before its return are notified six
     // seconds after the last sign of the outage.
-    let back = waited.poll(10_000).then(10_006, PollEvent::Rejected);
-    let back = back.poll(10_500).then(12_500, PollEvent::TurnedAway);
+    let back = waited.poll(10_000).then(10_006, PollEvent::RejectedAtOnce);
+    let back = back.poll(10_500).then(12_500, PollEvent::RejectedAfterWait);
     assert_eq!(back.expires(), 11_800 + USABLE_GRACE_MS);
     // A new outage does not defer changes that discovery may have had while it was up.
     assert_eq!(back.poll(12_600).then(12_601, PollEvent::Unreachable).expires(), 11_800 + USABLE_GRACE_MS);
@@ -96,9 +97,12 @@
 /// Guards against: taking an overloaded discovery for one that is down.
 #[test]
 fn late_rejections_do_not_extend_the_lease_once_discovery_has_answered() {
-    let lease =
-        Timeline::begin(ON_REQUEST).poll(0).answered(500).watch(500).then(2500, PollEvent::TurnedAway);
-    let lease = lease.poll(4000).then(6000, PollEvent::TurnedAway);
+    let lease = Timeline::begin(ON_REQUEST)
+        .poll(0)
+        .answered(500)
+        .watch(500)
+        .then(2500, PollEvent::RejectedAfterWait);
+    let lease = lease.poll(4000).then(6000, PollEvent::RejectedAfterWait);
     assert_eq!(lease.expires(), 6500 + USABLE_GRACE_MS);
 }
 
@@ -108,23 +112,23 @@
 fn open_watch_extends_the_lease_and_its_end_bounds_it() {
     let open = Timeline::begin(ON_REQUEST).watch(100);
     assert_eq!(open.expires_seen_at(2600), 12_100 + USABLE_GRACE_MS);
-    assert_eq!(open.then(5000, PollEvent::Broken).expires(), 11_000 + USABLE_GRACE_MS);
+    assert_eq!(open.then(5000, PollEvent::Inconclusive).expires(), 11_000 + USABLE_GRACE_MS);
     // It may have been silent for long before it broke.
     assert_eq!(
-        Timeline::begin(ON_REQUEST).watch(100).then(9000, PollEvent::Broken).expires(),
+        Timeline::begin(ON_REQUEST).watch(100).then(9000, PollEvent::Inconclusive).expires(),
         12_100 + USABLE_GRACE_MS
     );
     assert_eq!(
-        Timeline::begin(ON_REQUEST).watch(100).then(11_200, PollEvent::Silent).expires(),
+        Timeline::begin(ON_REQUEST).watch(100).then(11_200, PollEvent::TimedOut).expires(),
         12_100 + USABLE_GRACE_MS
     );
     // While it may be queued, it is not a watch yet.
     assert_eq!(
-        Timeline::begin(ON_REQUEST).watch(100).then(2000, PollEvent::TurnedAway).expires(),
+        Timeline::begin(ON_REQUEST).watch(100).then(2000, PollEvent::RejectedAfterWait).expires(),
         6100 + USABLE_GRACE_MS
     );
     assert_eq!(
-        Timeline::begin(ON_REQUEST).watch(100).then(2000, PollEvent::Broken).expires(),
+        Timeline::begin(ON_REQUEST).watch(100).then(2000, PollEvent::Inconclusive).expires(),
         6000 + USABLE_GRACE_MS
     );
 }
@@ -133,19 +137,22 @@
 /// directly follows another for one in the queue.
 #[test]
 fn late_rejection_after_a_broken_watch_counts_as_an_outage() {
-    let watched =
-        Timeline::begin(ON_REQUEST).watch(100).answered(3000).watch(3001).then(3500, PollEvent::Broken);
+    let watched = Timeline::begin(ON_REQUEST)
+        .watch(100)
+        .answered(3000)
+        .watch(3001)
+        .then(3500, PollEvent::Inconclusive);
     assert_eq!(watched.expires(), 9500 + USABLE_GRACE_MS);
-    let outage = watched.poll(6000).then(8000, PollEvent::TurnedAway);
+    let outage = watched.poll(6000).then(8000, PollEvent::RejectedAfterWait);
     assert_eq!(outage.expires(), 12_000 + USABLE_GRACE_MS);
 }
 
 /// Guards against: taking polls without any answer for an outage, or for a confirmed list.
 #[test]
 fn silent_poll_extends_the_lease_only_with_an_agent() {
-    let silent = Timeline::begin(ON_REQUEST).poll(1000).then(2100, PollEvent::Silent);
+    let silent = Timeline::begin(ON_REQUEST).poll(1000).then(2100, PollEvent::TimedOut);
     assert_eq!(silent.expires(), 6000 + USABLE_GRACE_MS);
-    let agent = Timeline::begin(Discovery::Pushed).poll(1000).then(2100, PollEvent::Silent);
+    let agent = Timeline::begin(Discovery::Pushed).poll(1000).then(2100, PollEvent::TimedOut);
     assert_eq!(agent.expires(), 1000 + USABLE_GRACE_MS);
 }
 
@@ -154,8 +161,10 @@
 #[test]
 fn repeated_reloads_are_bounded_from_the_first() {
     let lease = Timeline::begin(ON_REQUEST).watch(0).answered(4000).watch(4000);
-    let lease =
-        lease.then(5000, PollEvent::Moved).then(6000, PollEvent::Moved).then(8000, PollEvent::Moved);
+    let lease = lease
+        .then(5000, PollEvent::DiscoveryChanged)
+        .then(6000, PollEvent::DiscoveryChanged)
+        .then(8000, PollEvent::DiscoveryChanged);
     assert_eq!(lease.expires(), 9000 + USABLE_GRACE_MS);
     let unreachable = lease.poll(8100).then(8101, PollEvent::Unreachable);
     assert_eq!(unreachable.expires(), 14_100 + USABLE_GRACE_MS);
@@ -168,7 +177,7 @@
     let often = Discovery::OnRequest { ask_within: Duration::from_millis(500) };
     let lease = Timeline::begin(often).poll(100).answered(200);
     assert_eq!(lease.expires(), 700 + USABLE_GRACE_MS);
-    let lease = lease.poll(300).then(400, PollEvent::Rejected);
+    let lease = lease.poll(300).then(400, PollEvent::RejectedAtOnce);
     assert_eq!(lease.expires(), 2400 + USABLE_GRACE_MS);
     // A watch that was requested while the lease was valid and has been open for long enough by
     // then.
@@ -186,9 +195,9 @@
     assert!(asked.0.is_valid(at(6299)));
     assert!([6300, 7500, 9000, 14_000].iter().all(|ms| !asked.0.is_valid(at(*ms))));
     assert_eq!(asked.0.next_change(at(6300)), None);
-    let broken = asked.then(9000, PollEvent::Broken);
+    let broken = asked.then(9000, PollEvent::Inconclusive);
     assert!(!broken.0.is_valid(at(9000)));
-    let silent = Timeline::begin(ON_REQUEST).watch(5000).then(16_100, PollEvent::Silent);
+    let silent = Timeline::begin(ON_REQUEST).watch(5000).then(16_100, PollEvent::TimedOut);
     assert!(!silent.0.is_valid(at(16_100)));
     assert_eq!(silent.poll(16_200).answered(16_300).expires_seen_at(16_300), 22_300 + USABLE_GRACE_MS);
 }
@@ -222,16 +231,16 @@
         .watch(1400)
         .answered(2400)
         .watch(2400)
-        .then(3100, PollEvent::TurnedAway);
+        .then(3100, PollEvent::RejectedAfterWait);
     assert_eq!(watched.expires(), 9100 + USABLE_GRACE_MS);
-    let outage = watched.poll(5600).then(7600, PollEvent::TurnedAway);
+    let outage = watched.poll(5600).then(7600, PollEvent::RejectedAfterWait);
     assert_eq!(outage.expires(), 11_600 + USABLE_GRACE_MS);
     // A watch that comes later than that starts anew and may be queued.
     let anew = Timeline::begin(ON_REQUEST)
         .watch(1400)
         .answered(2400)
         .watch(2700)
-        .then(3400, PollEvent::TurnedAway);
+        .then(3400, PollEvent::RejectedAfterWait);
     assert_eq!(anew.expires(), 8400 + USABLE_GRACE_MS);
 }
 
@@ -241,13 +250,16 @@
 fn later_outage_does_not_renew_an_expired_lease() {
     let late = Timeline::begin(ON_REQUEST).poll(6100).then(6101, PollEvent::Unreachable);
     assert_eq!(late.expires(), 6000 + USABLE_GRACE_MS);
-    let late = Timeline::begin(ON_REQUEST).poll(6100).then(8100, PollEvent::TurnedAway);
+    let late = Timeline::begin(ON_REQUEST).poll(6100).then(8100, PollEvent::RejectedAfterWait);
     assert_eq!(late.expires(), 6000 + USABLE_GRACE_MS);
     // A poll that had begun before is evidence for the time of its beginning.
     let before = Timeline::begin(ON_REQUEST).poll(5900).then(7000, PollEvent::Unreachable);
     assert_eq!(before.expires(), 11_900 + USABLE_GRACE_MS);
-    let moved =
-        Timeline::begin(ON_REQUEST).watch(0).answered(4000).watch(4000).then(5000, PollEvent::Moved);
+    let moved = Timeline::begin(ON_REQUEST)
+        .watch(0)
+        .answered(4000)
+        .watch(4000)
+        .then(5000, PollEvent::DiscoveryChanged);
     assert_eq!(moved.poll(9100).then(9101, PollEvent::Unreachable).expires(), 9000 + USABLE_GRACE_MS);
 }
 
@@ -260,12 +272,14 @@
     let mut lease = Timeline::begin(often).poll(100).answered(200);
     for n in 0..20 {
         let begun = 300 + 100 * n;
-        lease = lease.then(begun, PollEvent::Begun { hold: HOLD }).then(begun + 1, PollEvent::Broken);
+        lease =
+            lease.then(begun, PollEvent::Started { hold: HOLD }).then(begun + 1, PollEvent::Inconclusive);
     }
     assert_eq!(lease.expires(), 700 + USABLE_GRACE_MS);
     let between = |fault: u64| {
         let watched = Timeline::begin(ON_REQUEST).watch(0).answered(3000);
-        let failed = watched.then(fault, PollEvent::Begun { hold: HOLD }).then(fault, PollEvent::Broken);
+        let failed =
+            watched.then(fault, PollEvent::Started { hold: HOLD }).then(fault, PollEvent::Inconclusive);
         failed.watch(fault + 70).expires_seen_at(fault + 70)
     };
     assert_eq!(between(3000), 15_070 + USABLE_GRACE_MS);
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -170,7 +170,7 @@
     /// Begins a poll, on the connection that was kept, if any.
     fn begin(&mut self, schedule: &Schedule, kept: Option<Connection>) -> Poll {
         let hold = schedule.hold(self.generation.is_none());
-        self.sidecar.record_poll(PollEvent::Begun { hold });
+        self.sidecar.record_poll(PollEvent::Started { hold });
         let request = Request {
             address: self.discovery.address,
             generation: self.generation,
@@ -266,7 +266,7 @@
     /// was missed at a fraction of the cost of the whole list; should they be others, the short first one shows it. The
     /// place held is named again where its list is wanted at once.
     fn move_to(&mut self, place: Place) -> (Schedule, NextPoll) {
-        self.sidecar.record_poll(PollEvent::Moved);
+        self.sidecar.record_poll(PollEvent::DiscoveryChanged);
         if std::mem::replace(&mut self.discovery, place) == place {
             Schedule::at_once(place.pushed)
         } else {
--- a/crates/net/src/list/evidence.rs
+++ b/crates/net/src/list/evidence.rs
@@ -33,16 +33,16 @@
 /// A failed poll as evidence for the lease on the list.
 pub(super) fn evidence(outcome: Outcome, took: Duration) -> PollEvent {
     match outcome {
-        Outcome::TurnedAway if took < REJECTED_WITHIN => PollEvent::Rejected,
-        Outcome::TurnedAway => PollEvent::TurnedAway,
+        Outcome::TurnedAway if took < REJECTED_WITHIN => PollEvent::RejectedAtOnce,
+        Outcome::TurnedAway => PollEvent::RejectedAfterWait,
         Outcome::Refused | Outcome::Unconnected => PollEvent::Unreachable,
-        Outcome::Silent { .. } => PollEvent::Silent,
+        Outcome::Silent { .. } => PollEvent::TimedOut,
         // Where discovery is down, a call may end with a reset in place of 503 (the protocol page).
-        Outcome::Failed if took >= REJECTED_WITHIN => PollEvent::TurnedAway,
+        Outcome::Failed if took >= REJECTED_WITHIN => PollEvent::RejectedAfterWait,
         Outcome::Failed
         | Outcome::PathFailed
         | Outcome::Unusable
         | Outcome::NotMade
-        | Outcome::Answered { .. } => PollEvent::Broken,
+        | Outcome::Answered { .. } => PollEvent::Inconclusive,
     }
 }
--- a/crates/net/src/list/evidence/tests.rs
+++ b/crates/net/src/list/evidence/tests.rs
@@ -10,6 +10,6 @@
 fn errors_of_a_moment_are_no_evidence_of_an_outage() {
     for code in OF_A_MOMENT {
         let outcome = connect_outcome(&Error::from_raw_os_error(code));
-        assert_eq!(evidence(outcome, Duration::ZERO), PollEvent::Broken, "error {code}");
+        assert_eq!(evidence(outcome, Duration::ZERO), PollEvent::Inconclusive, "error {code}");
     }
 }
