--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -25,7 +25,7 @@
 pub use lease::{Lease, PollEvent};
 pub use list::MAX_ANSWER_TRANSIT;
 pub use route::{AbortReason, Decision, LocalReply};
-pub use stop::Stop;
+pub use stop::Shutdown;
 pub use targets::{EndpointAddress, EndpointList, EndpointRecord, Lifecycle, UnknownEndpoint, endpoint_id};
 
 use async_channel::{Receiver, Sender};
--- a/crates/core/src/stop.rs
+++ b/crates/core/src/stop.rs
@@ -32,45 +32,45 @@
 
 /// A graceful shutdown in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stop {
+pub struct Shutdown {
     requested_at: Time,
-    gives_back_at: Time,
+    closes_connections_at: Time,
     last_answer_at: Time,
-    killed_at: Time,
+    kill_at: Time,
 }
 
-impl Stop {
+impl Shutdown {
     /// A shutdown requested at `requested_at`; `longest` is the longest deadline of the classes.
-    pub fn new(requested_at: Time, longest: Duration) -> Stop {
-        let killed_at = requested_at + longest.min(MAX_DEADLINE) + KILL_SLACK;
-        let last_answer_at = killed_at - ANSWER_MARGIN;
-        Stop {
+    pub fn new(requested_at: Time, longest: Duration) -> Shutdown {
+        let kill_at = requested_at + longest.min(MAX_DEADLINE) + KILL_SLACK;
+        let last_answer_at = kill_at - ANSWER_MARGIN;
+        Shutdown {
             requested_at,
-            gives_back_at: requested_at.max(last_answer_at - CLOSE_BEFORE_LAST_ANSWER),
+            closes_connections_at: requested_at.max(last_answer_at - CLOSE_BEFORE_LAST_ANSWER),
             last_answer_at,
-            killed_at,
+            kill_at,
         }
     }
 
     /// The same shutdown with connections closing from `now` on at the latest: a newer process
     /// takes over the clients.
-    pub fn give_back(self, now: Time) -> Stop {
-        Stop { gives_back_at: self.gives_back_at.min(now), ..self }
+    pub fn close_connections_by(self, now: Time) -> Shutdown {
+        Shutdown { closes_connections_at: self.closes_connections_at.min(now), ..self }
     }
 
     /// From this time on, connections are closed after their answers, and idle ones at once.
-    pub fn gives_back_at(&self) -> Time {
-        self.gives_back_at
+    pub fn closes_connections_at(&self) -> Time {
+        self.closes_connections_at
     }
 
     /// Deadline of a request that arrived after the stop signal, however long its client would
     /// wait.
-    pub fn due(&self, due: Time) -> Time {
-        due.min(self.last_answer_at)
+    pub fn deadline(&self, deadline: Time) -> Time {
+        deadline.min(self.last_answer_at)
     }
 
     /// Whether the shutdown is complete: new connections have stopped arriving, and none is open.
-    pub fn is_over(&self, now: Time, open: usize) -> bool {
+    pub fn is_complete(&self, now: Time, open: usize) -> bool {
         open == 0 && now >= self.requested_at + KILL_SLACK
     }
 
@@ -83,15 +83,16 @@
     /// `free` counts connections kept alive between requests; `busy` counts those with an admitted
     /// request, this one included. Connections that have sent nothing, or an incomplete request,
     /// cannot be reused by a client and count as neither.
-    pub fn refuses(&self, now: Time, free: usize, busy: usize) -> Option<Duration> {
-        let only_kept_alive = now >= self.requested_at + KEEP_SPARE_AFTER && now < self.gives_back_at;
+    pub fn refusal(&self, now: Time, free: usize, busy: usize) -> Option<Duration> {
+        let only_kept_alive =
+            now >= self.requested_at + KEEP_SPARE_AFTER && now < self.closes_connections_at;
         let spare = MAX_SPARE.min((free + busy) / IN_USE_PER_SPARE);
         (only_kept_alive && free < spare).then_some(RETRY_AFTER)
     }
 
     /// Earliest time at which SIGKILL may come; nothing is waited for beyond it.
-    pub fn killed_at(&self) -> Time {
-        self.killed_at
+    pub fn kill_at(&self) -> Time {
+        self.kill_at
     }
 }
 
@@ -112,10 +113,14 @@
         for (longest, last) in
             [(ms(6000), ms(3400)), (ms(3000), ms(3400)), (ms(500), ms(900)), (ms(0), ms(400))]
         {
-            let stop = Stop::new(REQUESTED_AT, longest);
-            assert_eq!(stop.due(REQUESTED_AT + ms(60_000)), REQUESTED_AT + last, "deadline {longest:?}");
-            assert_eq!(stop.due(REQUESTED_AT + ms(100)), REQUESTED_AT + ms(100));
-            assert_eq!(stop.gives_back_at(), REQUESTED_AT + last.saturating_sub(ms(1000)));
+            let stop = Shutdown::new(REQUESTED_AT, longest);
+            assert_eq!(
+                stop.deadline(REQUESTED_AT + ms(60_000)),
+                REQUESTED_AT + last,
+                "deadline {longest:?}"
+            );
+            assert_eq!(stop.deadline(REQUESTED_AT + ms(100)), REQUESTED_AT + ms(100));
+            assert_eq!(stop.closes_connections_at(), REQUESTED_AT + last.saturating_sub(ms(1000)));
         }
     }
 
@@ -124,13 +129,13 @@
     /// between.
     #[test]
     fn spare_connections_are_kept_free_once_new_ones_stop_arriving() {
-        let stop = Stop::new(REQUESTED_AT, ms(3000));
-        let refuses = |after, free, busy| stop.refuses(REQUESTED_AT + ms(after), free, busy).is_some();
+        let stop = Shutdown::new(REQUESTED_AT, ms(3000));
+        let refuses = |after, free, busy| stop.refusal(REQUESTED_AT + ms(after), free, busy).is_some();
         let at = |after| refuses(after, 2, 10);
         assert!(!at(99) && at(100) && at(2399) && !at(2400));
         assert!(!refuses(1000, 3, 9) && !refuses(1000, 3, 97), "three connections are free");
-        let given_back = stop.give_back(REQUESTED_AT + ms(50));
-        assert_eq!(given_back.refuses(REQUESTED_AT + ms(200), 0, 12), None, "a newer process serves them");
+        let closing = stop.close_connections_by(REQUESTED_AT + ms(50));
+        assert_eq!(closing.refusal(REQUESTED_AT + ms(200), 0, 12), None, "a newer process serves them");
         assert!(
             !refuses(1000, 0, 3) && refuses(1000, 0, 4) && !refuses(1000, 1, 3),
             "few connections are in use"
@@ -140,8 +145,10 @@
     /// Guards against: ending while new connections may still arrive, or while one is open.
     #[test]
     fn shutdown_is_complete_once_no_connection_arrives_or_is_open() {
-        let stop = Stop::new(REQUESTED_AT, ms(3000));
-        assert!(!stop.is_over(REQUESTED_AT + ms(699), 0) && stop.is_over(REQUESTED_AT + ms(700), 0));
-        assert!(!stop.is_over(REQUESTED_AT + ms(9000), 1));
+        let stop = Shutdown::new(REQUESTED_AT, ms(3000));
+        assert!(
+            !stop.is_complete(REQUESTED_AT + ms(699), 0) && stop.is_complete(REQUESTED_AT + ms(700), 0)
+        );
+        assert!(!stop.is_complete(REQUESTED_AT + ms(9000), 1));
     }
 }
--- a/crates/net/src/clients/flow.rs
+++ b/crates/net/src/clients/flow.rs
@@ -77,7 +77,7 @@
     /// of them free.
     fn leaves_too_few(&self) -> Option<Duration> {
         let (free, busy) = self.in_use();
-        self.stop.get()?.refuses(self.sidecar.clock().now(), free, busy)
+        self.stop.get()?.refusal(self.sidecar.clock().now(), free, busy)
     }
 
     /// Counts a flow's final answer for its class; one whose client has gone counts as failed.
@@ -100,7 +100,7 @@
         let clock = self.sidecar.clock();
         let class = taken.class_name.as_str();
         let due = clock.now() + taken.left.saturating_sub(TRAVEL);
-        let due = self.stop.get().map_or(due, |stop| stop.due(due));
+        let due = self.stop.get().map_or(due, |stop| stop.deadline(due));
         let flow =
             self.sidecar.admit(NewRequest { class: taken.class, tenant: taken.tenant, deadline: due });
         let caller = Caller::new(stream, buffer);
--- a/crates/net/src/clients/mod.rs
+++ b/crates/net/src/clients/mod.rs
@@ -17,7 +17,7 @@
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http::{self, Fault, Framing, Head};
-use cottonpoint_core::{Executor, Sidecar, Stop};
+use cottonpoint_core::{Executor, Shutdown, Sidecar};
 use cottonpoint_settings::Platform;
 use futures_lite::future;
 use room::{AT_BOUND, Closable, DRAIN, DRAIN_EVERY, EARLY, Open, Stage};
@@ -73,7 +73,7 @@
     leaving: Cell<bool>,
     stopping: Cell<bool>,
     /// Set once the process has been told to stop and serves on for a while.
-    stop: Cell<Option<Stop>>,
+    stop: Cell<Option<Shutdown>>,
     closed: (Sender<()>, Receiver<()>),
     last_call: (Sender<()>, Receiver<()>),
 }
@@ -177,10 +177,10 @@
 
     /// The word to stop has come: it is not ready from now on, but serves on the connections that clients keep
     /// until [`Clients::leave`], each new flow due by the stop's last answer.
-    pub fn stop(&self) -> Stop {
+    pub fn stop(&self) -> Shutdown {
         let classes = &self.platform.borrow().balancer.classes;
         let longest = classes.iter().map(|c| c.give_up).max().unwrap_or_default();
-        let stop = Stop::new(self.sidecar.clock().now(), longest);
+        let stop = Shutdown::new(self.sidecar.clock().now(), longest);
         self.stop.set(Some(stop));
         stop
     }
@@ -188,7 +188,7 @@
     /// From now on it is not ready, and asks each connection to close after its next answer.
     pub fn leave(&self) {
         let now = self.sidecar.clock().now();
-        self.stop.set(self.stop.get().map(|stop| stop.give_back(now)));
+        self.stop.set(self.stop.get().map(|stop| stop.close_connections_by(now)));
         self.stopping.set(true);
     }
 
--- a/crates/program/src/serve.rs
+++ b/crates/program/src/serve.rs
@@ -205,8 +205,8 @@
     let followed = || succession.as_ref().is_some_and(|succession| succession.followed());
     let now = || clock.now();
     // Nobody else may be there for this process's clients: it serves on for as long as it may.
-    while !followed() && !stop.is_over(now(), clients.open()) && now() < stop.gives_back_at() {
-        let look = stop.gives_back_at().min(now() + FOLLOW_EVERY);
+    while !followed() && !stop.is_complete(now(), clients.open()) && now() < stop.closes_connections_at() {
+        let look = stop.closes_connections_at().min(now() + FOLLOW_EVERY);
         one_closed_or(&clients, Timer::at(clock.instant(look))).await;
     }
     clients.leave();
@@ -217,7 +217,7 @@
         Timer::after(CLOSE_IDLE).await;
     }
     let nobody_is_left = async || {
-        while !stop.is_over(now(), clients.open()) {
+        while !stop.is_complete(now(), clients.open()) {
             clients.close_idle();
             one_closed_or(&clients, Timer::after(LOOK_AGAIN)).await;
         }
@@ -229,7 +229,7 @@
     nobody_is_left().await;
     // Who was told yes for an endpoint out by hand may count on it at the next start. A disk that hangs is waited
     // for until SIGKILL may come, and no longer.
-    let killed = Timer::at(clock.instant(stop.killed_at()));
+    let killed = Timer::at(clock.instant(stop.kill_at()));
     future::or(console.out.kept(), async {
         killed.await;
         tracing::warn!("the disk hangs: endpoints out by hand may not be kept for the next start");
