--- a/crates/program/src/bin/cottonpoint-adapter/main.rs
+++ b/crates/program/src/bin/cottonpoint-adapter/main.rs
@@ -42,7 +42,7 @@
                 Record::Other => continue,
                 Record::Start(seed, text) => {
                     let instance = target.ok_or_else(|| Malformed("no instance named".into()))?;
-                    let platform = settings::from_pairs(text).map_err(|e| Malformed(e.to_string()))?;
+                    let platform = settings::from_flat_text(text).map_err(|e| Malformed(e.to_string()))?;
                     let fields = platform.fields;
                     let made = guard(&mut reply, instance, || Balancer::new(platform.balancer, seed, now));
                     if let Some(balancer) = made {
--- a/crates/program/src/config.rs
+++ b/crates/program/src/config.rs
@@ -68,7 +68,7 @@
     seed: Option<Seed>,
     limits: Option<Limits>,
     known: Option<Answer>,
-    settings: settings::Written,
+    settings: settings::RawSettings,
 }
 
 #[derive(Deserialize)]
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reads the deployment's settings in both forms in which they come: the simulator's flat
 //! `path=value` lines and the nested JSON of a sidecar's configuration.
 //!
-//! Both are deserialised by the same serde types ([`Written`]): flat lines are first assembled into
+//! Both are deserialised by the same serde types ([`RawSettings`]): flat lines are first assembled into
 //! the object that they were written from. Errors of [`read`] name the full path of the key, in
 //! either form.
 
@@ -12,7 +12,7 @@
 mod scalar;
 
 pub use fault::{BadSetting, read};
-pub use raw::Written;
+pub use raw::RawSettings;
 
 use cottonpoint_decide::*;
 use std::time::Duration;
@@ -65,6 +65,6 @@
 }
 
 /// Reads settings from the simulator's flat `path=value` lines.
-pub fn from_pairs(text: &str) -> Result<Platform> {
-    read::<Written, _>(flat::object(text)?)?.platform()
+pub fn from_flat_text(text: &str) -> Result<Platform> {
+    read::<RawSettings, _>(flat::object(text)?)?.platform()
 }
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -38,7 +38,7 @@
 /// The settings as written in a sidecar's configuration.
 #[derive(Deserialize)]
 #[serde(expecting = "an object")]
-pub struct Written {
+pub struct RawSettings {
     me: Scalar<u32>,
     siblings: Positive<u32>,
     my_zone: Scalar<u16>,
@@ -205,7 +205,7 @@
     }
 }
 
-impl Written {
+impl RawSettings {
     /// Validates the settings and converts them to the balancer's and the sidecar's.
     pub fn platform(self) -> Result<Platform> {
         let orgs = self.orgs.unwrap_or_default();
--- a/crates/settings/tests/forms.rs
+++ b/crates/settings/tests/forms.rs
@@ -1,7 +1,7 @@
 //! Reading settings in both forms: equal values, and errors that name the full path of the key.
 #![allow(missing_docs)]
 
-use cottonpoint_settings::{BadSetting, Platform, Written, from_pairs, read};
+use cottonpoint_settings::{BadSetting, Platform, RawSettings, from_flat_text, read};
 use insta::{assert_debug_snapshot, assert_snapshot};
 
 const PAIRS: &str = "azs=a,b
@@ -61,13 +61,13 @@
 "telemetry":{"fields":["throughput","recent_ms","utilization"],"how":"pull"},"tier":1}"#;
 
 fn from_json(text: &str) -> Result<Platform, BadSetting> {
-    read::<Written, _>(&mut serde_json::Deserializer::from_str(text))?.platform()
+    read::<RawSettings, _>(&mut serde_json::Deserializer::from_str(text))?.platform()
 }
 
 /// Guards against: a key that is read from one form only, or a value that one form changes.
 #[test]
 fn both_forms_give_the_same_settings() {
-    let platform = from_pairs(PAIRS).expect("good settings");
+    let platform = from_flat_text(PAIRS).expect("good settings");
     assert_eq!(from_json(JSON).as_ref(), Ok(&platform));
     assert_debug_snapshot!(platform);
 }
@@ -94,13 +94,13 @@
     ];
     let kept: Vec<&str> = PAIRS.lines().filter(|l| !optional.iter().any(|o| l.starts_with(o))).collect();
     let text = kept.join("\n").replace("on_request", "pushed");
-    let minimal = from_pairs(&text).expect("good settings");
+    let minimal = from_flat_text(&text).expect("good settings");
     assert_debug_snapshot!(minimal);
     // Unknown keys may hold anything, and so may known keys that these settings do not require.
     let ignored =
         "\norgs=\nlanes.0.window_ns=?\nobligations.ask_within_ns=?\nnew=1,2\nnew.count=x\nno value\n";
     let deep = format!("deep{}=1", ".x".repeat(100_000));
-    assert_eq!(from_pairs(&(text + ignored + &deep)), Ok(minimal));
+    assert_eq!(from_flat_text(&(text + ignored + &deep)), Ok(minimal));
 }
 
 /// Guards against: an invalid setting that is accepted, that causes a panic, or whose error does
@@ -135,7 +135,7 @@
         ("orgs.0.quota_per_s=111.0\n", ""),
     ] {
         assert!(PAIRS.contains(from), "{from}");
-        error_of("pairs", to, from_pairs(&PAIRS.replacen(from, to, 1)));
+        error_of("pairs", to, from_flat_text(&PAIRS.replacen(from, to, 1)));
     }
     for (from, to) in [
         ("\"me\":3,", ""),
