--- a/crates/net/src/clients/mod.rs
+++ b/crates/net/src/clients/mod.rs
@@ -18,7 +18,7 @@
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http::{self, Fault, Framing, Head};
 use cottonpoint_core::{Executor, Shutdown, Sidecar};
-use cottonpoint_settings::Platform;
+use cottonpoint_settings::DeploymentSettings;
 use futures_lite::future;
 use room::{AT_BOUND, Closable, DRAIN, DRAIN_EVERY, EARLY, Open, Stage};
 use std::cell::{Cell, RefCell};
@@ -58,7 +58,7 @@
 pub struct Clients {
     sidecar: Rc<Sidecar>,
     servers: Rc<Servers>,
-    platform: RefCell<Platform>,
+    platform: RefCell<DeploymentSettings>,
     executor: Executor,
     /// Connections served at most.
     connections: Cell<usize>,
@@ -83,7 +83,7 @@
     pub fn new(
         sidecar: Rc<Sidecar>,
         servers: Rc<Servers>,
-        platform: Platform,
+        platform: DeploymentSettings,
         executor: Executor,
         connections: usize,
     ) -> Rc<Clients> {
@@ -166,7 +166,7 @@
     }
 
     /// Requests are taken in by these settings from now on: their classes, tenants and rules.
-    pub fn set_platform(&self, platform: Platform) {
+    pub fn set_platform(&self, platform: DeploymentSettings) {
         *self.platform.borrow_mut() = platform;
     }
 
--- a/crates/net/src/clients/take_in.rs
+++ b/crates/net/src/clients/take_in.rs
@@ -4,7 +4,7 @@
 use crate::servers::Outgoing;
 use cottonpoint_codec::http::{self, Fault, Framing, Head};
 use cottonpoint_decide::*;
-use cottonpoint_settings::Platform;
+use cottonpoint_settings::DeploymentSettings;
 use std::fmt::Write;
 use std::time::Duration;
 
@@ -59,7 +59,7 @@
 
 /// Makes a request a flow by what its headers say, or answers it: with 404 for an unknown class or path,
 /// with 400 for a bad header value.
-pub fn take_in(platform: &Platform, head: &Head, body: Vec<u8>) -> Result<TakenIn, Reply> {
+pub fn take_in(platform: &DeploymentSettings, head: &Head, body: Vec<u8>) -> Result<TakenIn, Reply> {
     let bad = |what: &str| Err(Reply::plain(400, what));
     if let Some(name) = ONCE.iter().find(|name| head.only(name).is_err()) {
         return bad(&format!("{name} is given twice"));
--- a/crates/program/src/config.rs
+++ b/crates/program/src/config.rs
@@ -1,7 +1,7 @@
 //! The sidecar's configuration: the one place that reads it, checks it and gives defaults.
 
 use cottonpoint_net::list::{Answer, Names};
-use cottonpoint_settings::{self as settings, BadSetting, Platform};
+use cottonpoint_settings::{self as settings, BadSetting, DeploymentSettings};
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::fmt;
@@ -120,7 +120,7 @@
     /// The list as last known.
     pub known: Option<Answer>,
     /// The platform's settings.
-    pub platform: Platform,
+    pub platform: DeploymentSettings,
     /// Where the console listens, if anywhere.
     pub console: Option<SocketAddr>,
     /// Where what outlives a process is kept (`$TMPDIR`), if anywhere.
@@ -151,7 +151,7 @@
         };
         let sockets = file.limits.and_then(|limits| limits.sockets).map_or(SOCKETS, |Sockets(n)| n);
         let mut platform =
-            file.settings.platform().map_err(|e| bad(&format!("settings.{}", e.key), e.why))?;
+            file.settings.validate().map_err(|e| bad(&format!("settings.{}", e.key), e.why))?;
         // On the socket any refusal may carry advice, whatever the simulator's clients are given.
         platform.balancer.limits.max_retry_after = platform.max_retry_after;
         named("lanes", &platform.classes)?;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -38,7 +38,7 @@
 
 /// All that is read from the deployment's settings.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Platform {
+pub struct DeploymentSettings {
     /// Settings of the balancer.
     pub balancer: Settings,
     /// Positions of the values in a load report.
@@ -65,6 +65,6 @@
 }
 
 /// Reads settings from the simulator's flat `path=value` lines.
-pub fn from_flat_text(text: &str) -> Result<Platform> {
-    read::<RawSettings, _>(flat::object(text)?)?.platform()
+pub fn from_flat_text(text: &str) -> Result<DeploymentSettings> {
+    read::<RawSettings, _>(flat::object(text)?)?.validate()
 }
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -2,7 +2,7 @@
 
 use crate::fault::{BadSetting, read};
 use crate::scalar::{Fraction, Keyword, NonNegative, Positive, Scalar, StringList};
-use crate::{Platform, ReportFields, Result};
+use crate::{DeploymentSettings, ReportFields, Result};
 use cottonpoint_decide as decide;
 use cottonpoint_decide::{Class, Effect, Scope, Settings, Tenant, ZoneId};
 use serde::Deserialize;
@@ -207,7 +207,7 @@
 
 impl RawSettings {
     /// Validates the settings and converts them to the balancer's and the sidecar's.
-    pub fn platform(self) -> Result<Platform> {
+    pub fn validate(self) -> Result<DeploymentSettings> {
         let orgs = self.orgs.unwrap_or_default();
         check_index_range("lanes", &self.lanes)?;
         check_index_range("orgs", &orgs)?;
@@ -279,7 +279,7 @@
         };
         let field_names = self.telemetry.fields.0;
         let position = |name: &str| field_names.iter().position(|n| n == name);
-        Ok(Platform {
+        Ok(DeploymentSettings {
             balancer,
             fields: ReportFields { utilization: position("utilization"), rate: position("throughput") },
             field_names,
--- a/crates/settings/tests/forms.rs
+++ b/crates/settings/tests/forms.rs
@@ -1,7 +1,7 @@
 //! Reading settings in both forms: equal values, and errors that name the full path of the key.
 #![allow(missing_docs)]
 
-use cottonpoint_settings::{BadSetting, Platform, RawSettings, from_flat_text, read};
+use cottonpoint_settings::{BadSetting, DeploymentSettings, RawSettings, from_flat_text, read};
 use insta::{assert_debug_snapshot, assert_snapshot};
 
 const PAIRS: &str = "azs=a,b
@@ -60,8 +60,8 @@
 "penalties":{"cross_zone":0.1},"shapes":["m"],"siblings":10,
 "telemetry":{"fields":["throughput","recent_ms","utilization"],"how":"pull"},"tier":1}"#;
 
-fn from_json(text: &str) -> Result<Platform, BadSetting> {
-    read::<RawSettings, _>(&mut serde_json::Deserializer::from_str(text))?.platform()
+fn from_json(text: &str) -> Result<DeploymentSettings, BadSetting> {
+    read::<RawSettings, _>(&mut serde_json::Deserializer::from_str(text))?.validate()
 }
 
 /// Guards against: a key that is read from one form only, or a value that one form changes.
@@ -108,7 +108,7 @@
 #[test]
 fn errors_name_the_full_key_path() {
     let mut messages = String::new();
-    let mut error_of = |form: &str, what: &str, read: Result<Platform, BadSetting>| {
+    let mut error_of = |form: &str, what: &str, read: Result<DeploymentSettings, BadSetting>| {
         let error = read.expect_err(what).to_string();
         assert_eq!(error.lines().count(), 1);
         messages += &format!("{form} {what}: {error}\n");
