--- a/crates/file/src/lib.rs
+++ b/crates/file/src/lib.rs
@@ -37,24 +37,24 @@
 
 /// The text of a TOML file, used to locate keys in error messages.
 #[derive(Clone, Debug)]
-pub struct Text {
+pub struct TomlText {
     file: String,
     text: String,
 }
 
-impl Text {
+impl TomlText {
     /// Reads a file.
-    pub fn load(path: &Path) -> Result<Text, Fault> {
+    pub fn load(path: &Path) -> Result<TomlText, Fault> {
         let file = path.display().to_string();
         match fs::read_to_string(path) {
-            Ok(text) => Ok(Text { file, text }),
+            Ok(text) => Ok(TomlText { file, text }),
             Err(e) => Err(Fault { file, line: 0, key: String::new(), why: e.to_string() }),
         }
     }
 
     /// Wraps a text that is not read from a file, or was read elsewhere; `file` names it in errors.
-    pub fn new(file: &str, text: &str) -> Text {
-        Text { file: file.to_owned(), text: text.to_owned() }
+    pub fn new(file: &str, text: &str) -> TomlText {
+        TomlText { file: file.to_owned(), text: text.to_owned() }
     }
 
     /// The text itself.
@@ -93,7 +93,7 @@
 
     /// A copy of the text with some keys set, each given as a path and a TOML value; a value that
     /// is not valid TOML is taken as a string.
-    pub fn changed(&self, set: &[(String, String)]) -> Result<Text, Fault> {
+    pub fn with_overrides(&self, set: &[(String, String)]) -> Result<TomlText, Fault> {
         let mut document: toml_edit::DocumentMut =
             self.text.parse().map_err(|e: toml_edit::TomlError| self.fault_at(1, "", e.message()))?;
         for (key, value) in set {
@@ -113,7 +113,7 @@
             }
             item[*last] = toml_edit::Item::Value(value);
         }
-        Ok(Text { file: format!("{}, as changed", self.file), text: document.to_string() })
+        Ok(TomlText { file: format!("{}, as changed", self.file), text: document.to_string() })
     }
 
     fn fault_at(&self, line: usize, key: &str, why: impl fmt::Display) -> Fault {
--- a/crates/lab/src/commands/hunt.rs
+++ b/crates/lab/src/commands/hunt.rs
@@ -2,7 +2,7 @@
 
 use super::{Done, print_json, read};
 use crate::Form;
-use cottonpoint_file::Text;
+use cottonpoint_file::TomlText;
 use cottonpoint_lab::experiment::{Outcome, Task, play_all};
 use cottonpoint_lab::policies::Policy;
 use cottonpoint_lab::scenario::Scenario;
@@ -143,6 +143,6 @@
             .map(|s| format!("[{}, {}]", (s.from / 2.0).floor(), (s.to / 2.0).floor()))
     };
     let Some(value) = value else { return Ok(None) };
-    let changed = Text::new("(hunted)", text).changed(&[(key.to_owned(), value)])?;
+    let changed = TomlText::new("(hunted)", text).with_overrides(&[(key.to_owned(), value)])?;
     Ok(Some(changed.as_str().to_owned()))
 }
--- a/crates/lab/src/commands/mod.rs
+++ b/crates/lab/src/commands/mod.rs
@@ -8,7 +8,7 @@
 mod scale;
 
 use crate::{Command, Day, Form};
-use cottonpoint_file::Text;
+use cottonpoint_file::TomlText;
 use cottonpoint_lab::experiment::{self, Outcome};
 use cottonpoint_lab::live;
 use cottonpoint_lab::policies::Policy;
@@ -31,7 +31,7 @@
 
 /// A scenario with the text that it was read from.
 struct Read {
-    text: Text,
+    text: TomlText,
     scenario: Scenario,
 }
 
@@ -40,8 +40,8 @@
     if !path.exists() {
         path = Path::new(SCENARIOS).join(name).with_extension("toml");
     }
-    let text = Text::load(&path)?;
-    let text = if set.is_empty() { text } else { text.changed(set)? };
+    let text = TomlText::load(&path)?;
+    let text = if set.is_empty() { text } else { text.with_overrides(set)? };
     Ok(Read { scenario: Scenario::read(&text)?, text })
 }
 
--- a/crates/lab/src/prove/lab/mod.rs
+++ b/crates/lab/src/prove/lab/mod.rs
@@ -9,7 +9,7 @@
 use crate::scenario::Scenario;
 use crate::world::{Rule, World};
 use cottonpoint_decide::{Settings, Time};
-use cottonpoint_file::Text;
+use cottonpoint_file::TomlText;
 use queues::closed_forms;
 use std::path::Path;
 use std::time::Instant;
@@ -232,10 +232,10 @@
 
 fn speed(short: bool, claims: &mut Vec<Claim>) {
     let shipped =
-        |name: &str| Text::load(&Path::new("lab/scenarios").join(name).with_extension("toml")).ok();
-    let long = |text: &Text, length: &str| {
+        |name: &str| TomlText::load(&Path::new("lab/scenarios").join(name).with_extension("toml")).ok();
+    let long = |text: &TomlText, length: &str| {
         let set = [("length".to_owned(), length.to_owned())];
-        text.changed(&set).and_then(|text| Scenario::read(&text))
+        text.with_overrides(&set).and_then(|text| Scenario::read(&text))
     };
     let Some(text) = shipped("gallery-calm") else {
         return claims.push(Claim::new(
--- a/crates/lab/src/scenario/check.rs
+++ b/crates/lab/src/scenario/check.rs
@@ -1,11 +1,11 @@
 //! Whether a scenario makes sense, before anything runs.
 
 use super::{Law, Lengths, Scenario, Span, What};
-use cottonpoint_file::{Fault, Text};
+use cottonpoint_file::{Fault, TomlText};
 use std::fmt;
 
 /// Finds wrong figures and says where they stand.
-pub(super) struct Checker<'a>(pub(super) &'a Text);
+pub(super) struct Checker<'a>(pub(super) &'a TomlText);
 
 impl Checker<'_> {
     fn bad(&self, key: &str, why: impl fmt::Display) -> Fault {
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -12,7 +12,7 @@
 
 use check::Checker;
 pub use classes::{Class, Effect, Law, Tenant};
-use cottonpoint_file::{Fault, Text};
+use cottonpoint_file::{Fault, TomlText};
 pub use day::{Clients, Discovery, Load, Network, Prices, Rules};
 use figures::ms;
 pub use figures::{Length, Lengths, Span};
@@ -73,11 +73,11 @@
 impl Scenario {
     /// Reads a scenario from a file.
     pub fn load(path: &Path) -> Result<Scenario, Fault> {
-        Scenario::read(&Text::load(path)?)
+        Scenario::read(&TomlText::load(path)?)
     }
 
     /// Reads a scenario from text.
-    pub fn read(text: &Text) -> Result<Scenario, Fault> {
+    pub fn read(text: &TomlText) -> Result<Scenario, Fault> {
         let scenario: Scenario = text.read()?;
         Checker(text).scenario(&scenario)?;
         Ok(scenario)
@@ -85,11 +85,11 @@
 
     /// Reads a scenario from text that stands in no file; `file` names it in faults.
     pub fn parse(file: &str, text: &str) -> Result<Scenario, Fault> {
-        Scenario::read(&Text::new(file, text))
+        Scenario::read(&TomlText::new(file, text))
     }
 
     /// A digest of a scenario's text, by which results are kept apart.
-    pub fn digest(text: &Text) -> u64 {
+    pub fn digest(text: &TomlText) -> u64 {
         xxh3_64(text.as_str().as_bytes())
     }
 }
--- a/crates/program/src/operator/fleet.rs
+++ b/crates/program/src/operator/fleet.rs
@@ -1,6 +1,6 @@
 //! `[fleet]`: whether this sidecar talks with others, and how.
 
-use cottonpoint_file::{Fault, Text};
+use cottonpoint_file::{Fault, TomlText};
 use cottonpoint_mesh::WORKERS_LIMIT;
 use cottonpoint_mesh::seal::{KEY_LENGTH, Key};
 use cottonpoint_peers::NAME_LIMIT;
@@ -70,7 +70,7 @@
     pub(super) const COMMENTED: [&'static str; 5] = ["listen", "advertise", "cluster", "keys", "name"];
 
     /// Checks it, and reads the keys where it is on.
-    pub(super) fn check(&mut self, text: &Text) -> Result<(), Fault> {
+    pub(super) fn check(&mut self, text: &TomlText) -> Result<(), Fault> {
         let fault = |key: &str, why: String| Err(text.fault(&format!("fleet.{key}"), why));
         if self.seeds.len() > SEEDS_LIMIT {
             return fault("seeds", format!("{} are too many: {SEEDS_LIMIT} at most", self.seeds.len()));
--- a/crates/program/src/operator/mod.rs
+++ b/crates/program/src/operator/mod.rs
@@ -5,7 +5,7 @@
 
 pub use fleet::Fleet;
 
-use cottonpoint_file::{Fault, Text};
+use cottonpoint_file::{Fault, TomlText};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -81,11 +81,11 @@
 impl Operator {
     /// Reads and checks an operator's file.
     pub fn load(path: &Path) -> Result<Operator, Fault> {
-        Operator::read(&Text::load(path)?)
+        Operator::read(&TomlText::load(path)?)
     }
 
     /// Reads and checks an operator's text.
-    pub fn read(text: &Text) -> Result<Operator, Fault> {
+    pub fn read(text: &TomlText) -> Result<Operator, Fault> {
         let mut operator: Operator = text.read()?;
         let level = |key: &str, level: &str| match level.parse::<LevelFilter>() {
             Ok(_) => Ok(()),
