--- a/crates/core/src/book.rs
+++ b/crates/core/src/book.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One attempt of a request at an endpoint. Its outcome is reported once: by [`Attempt::complete`], or
-/// as cancelled if it is dropped before.
+/// One attempt of a request at an endpoint. Its outcome is reported once: by [`Attempt::complete`],
+/// or as cancelled if it is dropped before.
 pub struct Attempt {
     sidecar: Rc<Sidecar>,
     request: RequestId,
@@ -35,7 +35,7 @@
         Attempt { sidecar, request, number, endpoint, deadline, sent_at, aborted, completed: false }
     }
 
-    /// Waits deadline the attempt should be aborted.
+    /// Waits until the attempt should be aborted.
     pub async fn aborted(&self) -> AbortReason {
         self.aborted.recv().await.unwrap_or(AbortReason::Cancelled)
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,9 +2,9 @@
 //! ids and the life cycle of requests; it feeds events to the balancer and performs the actions
 //! that the balancer returns.
 //!
-//! A protocol front end reads a request, calls [`Sidecar::admit`] and then awaits [`RequestHandle::next_decision`]
-//! in a loop. It sends each [`Attempt`] to its endpoint and reports the outcome, until a decision
-//! ends the request.
+//! A protocol front end reads a request, calls [`Sidecar::admit`] and then awaits
+//! [`RequestHandle::next_decision`] in a loop. It sends each [`Attempt`] to its endpoint and
+//! reports the outcome, until a decision ends the request.
 
 mod admit;
 mod book;
@@ -215,9 +215,9 @@
     fn feed_to(self: &Rc<Self>, settings_version: Option<u32>, event: Event<'_>) {
         let mut core = self.core.borrow_mut();
         // Balancers are added and removed only by a reload or after a feed, never during one.
-        for at in 0..core.balancers.len() {
-            let n = core.balancers[at].0;
-            if settings_version.is_some_and(|t| t != n) {
+        for index in 0..core.balancers.len() {
+            let n = core.balancers[index].0;
+            if settings_version.is_some_and(|version| version != n) {
                 continue;
             }
             let mut follow_ups = VecDeque::new();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,9 @@
 //! Reads the deployment's settings in both forms in which they come: the simulator's flat
 //! `path=value` lines and the nested JSON of a sidecar's configuration.
 //!
-//! Both are deserialised by the same serde types ([`RawSettings`]): flat lines are first assembled into
-//! the object that they were written from. Errors of [`read`] name the full path of the key, in
-//! either form.
+//! Both are deserialised by the same serde types ([`RawSettings`]): flat lines are first assembled
+//! into the object that they were written from. Errors of [`read`] name the full path of the key,
+//! in either form.
 
 mod fault;
 mod flat;
