--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -291,7 +291,7 @@
             if let Some((abort, endpoint)) = entry.attempts.last()
                 && !self.endpoint_list.takes_work(*endpoint)
             {
-                let _ = abort.try_send(AbortReason::EndpointUnavailable);
+                let _ = abort.try_send(AbortReason::Unavailable);
             }
         }
     }
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -23,7 +23,7 @@
     /// The balancer cancelled it.
     Cancelled,
     /// Its endpoint accepts no new attempts; an attempt that has started may continue.
-    EndpointUnavailable,
+    Unavailable,
 }
 
 /// What to do next for a request.
--- a/crates/net/src/servers/send.rs
+++ b/crates/net/src/servers/send.rs
@@ -108,10 +108,8 @@
             loop {
                 match attempt.aborted().await {
                     AbortReason::Cancelled => return ended(Outcome::Cancelled),
-                    AbortReason::EndpointUnavailable if !progress.get().has_begun() => {
-                        return ended(Outcome::Moot);
-                    }
-                    AbortReason::EndpointUnavailable => {}
+                    AbortReason::Unavailable if !progress.get().has_begun() => return ended(Outcome::Moot),
+                    AbortReason::Unavailable => {}
                 }
             }
         };
