--- a/crates/mesh/src/tests.rs
+++ b/crates/mesh/src/tests.rs
@@ -1,4 +1,4 @@
-//! Workers on real sockets of loopback.
+//! Workers on real loopback sockets.
 
 use crate::seal::{Key, Seal};
 use crate::{Command, Handle, Mesh, Settings, id_of};
@@ -6,10 +6,10 @@
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// Longer than any wait here: only a failure takes it.
+/// Longer than any wait here takes unless a test fails.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// A packet with news of that many members.
+/// A packet with updates about that many members.
 pub(crate) fn packet(updates: u64) -> Packet {
     let update = |n: u64| Update {
         id: id_of(&format!("member-{n}")),
@@ -20,8 +20,8 @@
         standing: Standing::Reachable,
         by: id_of("member-0"),
     };
-    let number = 7;
-    Packet { from: update(0), body: Body::Ping { number }, updates: (1..=updates).map(update).collect() }
+    let nonce = 7;
+    Packet { from: update(0), body: Body::Ping { nonce }, updates: (1..=updates).map(update).collect() }
 }
 
 fn bound() -> (UdpSocket, SocketAddrV4) {
@@ -63,8 +63,8 @@
     member.map(|member| member.news.standing)
 }
 
-/// Guards against: members that do not find each other, a goodbye that is not heard, words that are lost at a stop,
-/// and workers that do not end.
+/// Guards against members that don't find each other, a leave that is not received, commands that
+/// are lost when the mesh stops, and workers that don't end.
 #[test]
 fn members_meet_leave_and_come_back() {
     let (first, one, seed) = start("one", &[], 1);
@@ -86,8 +86,8 @@
     assert_eq!((one.figures().panics, one.figures().too_long), (0, 0));
 }
 
-/// Guards against: a stranger let in, or refused without a count; a peer that is not there taken for a fault; a worker
-/// that spins on it.
+/// Guards against a stranger that is accepted, or rejected without being counted; an unreachable
+/// peer that is treated as a bug; and a worker that spins because of it.
 #[test]
 fn strangers_garbage_and_dead_peers_are_counted_and_do_no_harm() {
     let (gone, nobody) = bound();
@@ -116,8 +116,8 @@
     assert_eq!(one.figures().panics, 0);
 }
 
-/// Guards against: a fault in the plane that ends the fleet in silence, or a member that others take for dead or
-/// whose view goes back after it.
+/// Guards against a panic in the state machine that silently ends the membership, and a member that
+/// after it is considered dead by others or whose view goes back.
 #[test]
 fn a_worker_that_falls_is_counted_and_the_member_starts_anew() {
     let (_first, one, seed) = start("one", &[], 1);
@@ -137,7 +137,8 @@
     assert!(two.snapshot().view.version > before);
 }
 
-/// Guards against: a loop that waits for workers that do not keep up, and words dropped without a count.
+/// Guards against an event loop that waits for slow workers, and commands dropped without being
+/// counted.
 #[test]
 fn words_that_find_no_room_are_counted() {
     let (mesh, one, _) = start("one", &[], 1);
--- a/crates/peers/src/gossip.rs
+++ b/crates/peers/src/gossip.rs
@@ -1,16 +1,17 @@
-//! Which news still travels: each rides a bounded number of packets, the least sent first.
+//! The gossip queue: updates that are still piggybacked. Each is sent on a bounded number of
+//! packets, and those sent least often go first.
 
 use crate::interface::MemberId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What becomes of one piece of news at a packet.
+/// What to do with a queued update while a packet is filled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Choice {
-    /// It rides.
+    /// Put it on the packet.
     Take,
-    /// Not on this one.
+    /// Leave it off this packet.
     Skip,
-    /// No more fits.
+    /// The packet has no room for further updates.
     Full,
 }
 
@@ -21,7 +22,7 @@
 }
 
 impl Gossip {
-    /// There is news of this member: it travels from the start again.
+    /// Queues the update of this member with its transmission count reset.
     pub(crate) fn add(&mut self, id: MemberId) {
         self.remove(id);
         self.sent.insert(id, 0);
@@ -34,8 +35,8 @@
         }
     }
 
-    /// The members whose news rides on the next packet: each is shown to `choice` in turn, and each taken counts as
-    /// sent once more and goes no further after `limit` times.
+    /// Selects the members whose updates go on the next packet. Calls `choice` for each in turn;
+    /// each one taken counts as sent once more and leaves the queue after `limit` transmissions.
     pub(crate) fn take(&mut self, limit: u32, mut choice: impl FnMut(MemberId) -> Choice) {
         let mut taken = Vec::new();
         for (sent, id) in &self.order {
@@ -72,9 +73,9 @@
         taken
     }
 
-    /// Guards against: news that rides for ever, and old news that goes before new.
+    /// Guards against updates that are sent forever, and old updates sent before new ones.
     #[test]
-    fn least_sent_first_and_no_more_than_the_limit() {
+    fn least_sent_updates_go_first_up_to_the_limit() {
         let mut gossip = Gossip::default();
         (0..20).for_each(|id| gossip.add(MemberId(id)));
         let first = take(&mut gossip, 13, None);
@@ -93,9 +94,10 @@
         assert_eq!(gossip, Gossip::default());
     }
 
-    /// Guards against: telling a member by chance what it is told first anyway.
+    /// Guards against piggybacking an update on a packet to its own subject, who gets it first
+    /// anyway when needed.
     #[test]
-    fn the_receiver_is_skipped() {
+    fn update_is_not_sent_to_its_subject() {
         let mut gossip = Gossip::default();
         gossip.add(MemberId(1));
         assert_eq!(take(&mut gossip, 5, Some(MemberId(1))), []);
--- a/crates/peers/src/interface.rs
+++ b/crates/peers/src/interface.rs
@@ -1,237 +1,255 @@
-//! What a member is told, what it asks for, and what it says to others. Plain data, no behaviour.
+//! Settings, messages, events, actions and views of the membership protocol: plain data without
+//! behaviour.
 
 use cottonpoint_decide::Time;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Names a member: the same at every other one and across restarts of its process (a hash of its name).
+/// Identifies a member. It is a hash of the member's name, hence the same at all members and across
+/// restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u64);
 
-/// The longest name of a member, in bytes: several of them have to fit into one packet.
+/// The longest name of a member, in bytes. Several names have to fit into one packet.
 pub const NAME_LIMIT: usize = 32;
-/// Members held at most, this one included, whatever their standing; news of further ones is counted and dropped.
+/// Members held at most, in any state, this one included. Updates of further members are counted
+/// and dropped.
 pub const MEMBERS_LIMIT: usize = 1024;
-/// The longest packet in bytes as sent, seal and all: the least that any IPv4 path in use carries unsplit, with
-/// room (RFC 9000, 14).
+/// The longest packet as sent, in bytes, including its seal: the least that any IPv4 path in use
+/// carries without fragmentation, with room to spare (RFC 9000, 14).
 pub const PACKET_LIMIT: usize = 1200;
-/// Bytes of a packet kept for the seal: version 1, cluster 8, MAC 16.
+/// Bytes of a packet reserved for the seal: version 1, cluster 8, MAC 16.
 pub const SEAL_ROOM: usize = 1 + 8 + 16;
-/// Updates in one packet at most; further ones are counted and dropped. The shortest update takes 12 bytes by
-/// postcard, the longest 81 (10 + 33 + 7 + 10 + 10 + 1 + 10), so that no more than these, and no fewer than 13, fit.
+/// Updates in one packet at most; further ones are counted and dropped. Encoded by postcard the
+/// shortest update takes 12 bytes and the longest 81 (10 + 33 + 7 + 10 + 10 + 1 + 10), so a packet
+/// has room for at least 13 and at most this many.
 pub const UPDATES_LIMIT: usize = 96;
 
-/// All that a member is told at its start.
+/// The configuration of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// Its identity.
+    /// The id of this member.
     pub me: MemberId,
-    /// Its name, [`NAME_LIMIT`] bytes at most.
+    /// The name of this member, at most [`NAME_LIMIT`] bytes.
     pub name: String,
-    /// Where others reach it. Answers go to the address that the asker names, never to where a packet came from.
+    /// The address at which other members reach this one. Answers go to the address that a packet
+    /// names, never to the one it was received from.
     pub address: SocketAddrV4,
-    /// Whom to ask at first, and again for as long as it is alone.
+    /// Addresses contacted to join the fleet, and again for as long as no member is known at them.
     pub seeds: Vec<SocketAddrV4>,
-    /// Its first incarnation: 1, or more than any before where an earlier one is remembered.
+    /// The first incarnation: 1, or higher than any earlier one that is remembered.
     pub incarnation: u64,
-    /// Drawn anew by each process: tells two processes of one name apart.
+    /// A random number drawn by each process at its start, which distinguishes two processes of the
+    /// same name.
     pub boot: u64,
-    /// Between two probes.
+    /// The interval between two probes.
     pub period: Duration,
-    /// The seed of all randomness.
+    /// The seed of all pseudo-random decisions.
     pub seed: u64,
 }
 
-/// What others hold of a member. Order matters: of one incarnation the later of these wins.
+/// The state of a member as another one sees it. The order matters: at the same incarnation the
+/// later state overrides the earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Standing {
-    /// It answers.
+    /// It answers probes.
     Reachable,
-    /// It has not answered; it may yet say so itself.
+    /// It has not answered a probe; it may still refute the suspicion.
     Suspected,
-    /// It did not answer in time: what is known of it is the last that was known.
+    /// It did not refute a suspicion in time. The last known details of it are kept; this is SWIM's
+    /// "confirmed faulty".
     LastKnown,
-    /// It said goodbye.
+    /// It left the fleet on its own account.
     Left,
 }
 
-/// News of one member, as members pass it on.
+/// A membership update about one member, as gossiped between members.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Update {
-    /// Of whom.
+    /// The member that this update is about.
     pub id: MemberId,
-    /// Its name.
+    /// The name of the member.
     pub name: String,
-    /// Where it is reached.
+    /// The address at which the member is reached.
     pub address: SocketAddrV4,
-    /// Its incarnation: only the member itself raises it, to contradict what is said of it.
+    /// The incarnation of the member. Only the member itself raises it, to refute what others
+    /// report.
     pub incarnation: u64,
-    /// Its process, as drawn at its start.
+    /// The random number that the member's process drew at its start.
     pub boot: u64,
-    /// How it stands.
+    /// The state of the member.
     pub standing: Standing,
-    /// Who says so: of a suspicion the member whose own probe went unanswered, of all else (and where that is not
-    /// known) the member itself. Tells suspicions that several came to by themselves from one that was passed on.
+    /// The member that reported this: for a suspicion the member whose own probe went unanswered,
+    /// otherwise (and where that is not known) the subject itself. It distinguishes independent
+    /// suspicions from a suspicion that was passed on.
     pub by: MemberId,
 }
 
-/// What a packet is for.
+/// The purpose of a packet and its parameters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks whether the receiver is there.
+    /// A direct probe: asks the receiver for an ack.
     Ping {
-        /// Handed back in the answer.
-        number: u32,
+        /// An unpredictable number that the answer echoes.
+        nonce: u32,
     },
-    /// Asks the receiver to ping a third member on the sender's behalf.
+    /// A request for an indirect probe (SWIM's ping-req): asks the receiver to ping a third member
+    /// on the sender's behalf.
     PingFor {
-        /// Handed back in the answer.
-        number: u32,
-        /// Whom to ping.
-        whom: MemberId,
-        /// Where it is reached.
+        /// An unpredictable number that the answer echoes.
+        nonce: u32,
+        /// The member to ping.
+        target: MemberId,
+        /// The address of the member to ping.
         address: SocketAddrV4,
     },
-    /// The one asked about is there.
+    /// The probed member answered.
     Ack {
-        /// The number asked under.
-        number: u32,
+        /// The nonce of the request.
+        nonce: u32,
     },
-    /// The one asked for has not answered the helper in time; the helper itself is well.
+    /// The member to ping did not answer the helper in time; the helper itself is up.
     Nack {
-        /// The number asked under.
-        number: u32,
+        /// The nonce of the request.
+        nonce: u32,
     },
-    /// Asks for all that the receiver knows, in as many packets as it takes.
+    /// Requests a full state sync: all members that the receiver knows, in as many packets as
+    /// needed.
     Sync,
-    /// A part of all that the sender knows: its updates.
+    /// One packet of the answer to a sync request; the members are in its updates.
     Known,
-    /// Goodbye.
+    /// The sender leaves the fleet.
     Leave,
 }
 
-/// One packet: who speaks, what for, and news that travel along.
+/// One packet: its sender, its purpose, and piggybacked updates.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Packet {
-    /// The sender as it sees itself.
+    /// The sender's own state.
     pub from: Update,
-    /// What it is for.
+    /// The purpose of the packet.
     pub body: Body,
-    /// News of members.
+    /// Updates about other members.
     pub updates: Vec<Update>,
 }
 
-/// What a member is told.
+/// An input to the state machine.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// A packet came whose seal was right. It may be late, a second copy, or an old one sent again.
+    /// A packet arrived whose seal was valid. It may be delayed, duplicated or replayed.
     Packet(&'a Packet),
-    /// The time asked for by [`Action::WakeAt`] has come (or any other time: it does no harm).
+    /// The time requested by [`Action::WakeAt`] has come. A wake at any other time is harmless.
     Wake,
-    /// It leaves: others are told, and nothing is sent after that but goodbyes.
+    /// Leave the fleet: other members are notified, and nothing but leave messages is sent after
+    /// that.
     Leave,
-    /// It is a member again after [`Event::Leave`].
+    /// Rejoin the fleet after [`Event::Leave`].
     Join,
-    /// A packet could not be sent, by a fault of this process: no silence that follows is the other member's.
+    /// A packet could not be sent because of a fault of this process, so the lack of an answer says
+    /// nothing about the receiver.
     NotSent(&'a Packet),
 }
 
-/// What a member asks for.
+/// An output of the state machine, carried out by the embedder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Send a packet.
     Send {
-        /// Where to.
+        /// The destination.
         to: SocketAddrV4,
-        /// What.
+        /// The packet.
         packet: Packet,
     },
-    /// Give [`Event::Wake`] at that time; only the latest such action counts.
+    /// Deliver [`Event::Wake`] at that time. Only the latest such action counts.
     WakeAt(Time),
 }
 
-/// One member as this one sees it.
+/// One member as this member sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The news held of it.
+    /// The latest update about the member.
     pub news: Update,
-    /// When it came to that standing.
+    /// When the member entered its current state.
     pub since: Time,
 }
 
-/// How far a view can be trusted.
+/// How complete a view is: whether this member may be on one side of a network partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// Nobody else was ever met.
+    /// This member has never met another one.
     Alone,
     /// All members that have not left answer.
     Whole,
-    /// Some do not answer; those that do are more than half, or half with the lowest id among them.
+    /// Some members don't answer. Those that do are more than half, or exactly half including the
+    /// lowest id.
     Larger,
-    /// Those that answer are fewer than half, or half without the lowest id: others may decide elsewhere.
+    /// Those that answer are fewer than half, or exactly half without the lowest id: the other side
+    /// may make different decisions.
     Smaller,
 }
 
-/// Who is there, as this member sees it; it names its own uncertainty.
+/// The fleet as this member sees it, with how far the view can be trusted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// Grows with each change.
+    /// Increases with each change.
     pub version: u64,
-    /// This member.
+    /// The id of this member.
     pub me: MemberId,
-    /// Its incarnation.
+    /// The incarnation of this member.
     pub incarnation: u64,
-    /// All members held, this one included, by id.
+    /// All members held, this one included, sorted by id.
     pub members: Vec<Member>,
-    /// How far it can be trusted.
+    /// How complete the view is.
     pub part: Part,
-    /// How unwell this member itself is: 0 is well; its own waits are longer by that many times.
+    /// The local health score of this member (Lifeguard): 0 is healthy. The member multiplies its
+    /// own timeouts by the score plus one.
     pub unwell: u32,
 }
 
-/// What has happened so far, in counts that only grow.
+/// Event counters, which only grow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Members probed by a direct ping.
     pub pings: u64,
-    /// Probes answered, directly or through others.
+    /// Probes answered, directly or through a helper.
     pub acks: u64,
-    /// Helpers that said they had no answer either.
+    /// Nacks received from helpers.
     pub nacks: u64,
-    /// Pings sent on behalf of others.
+    /// Pings sent on behalf of other members.
     pub helped: u64,
-    /// Pings to members last known, to suspects and to seeds.
+    /// Pings outside the probe schedule: to dead members, to suspects and to seeds.
     pub knocks: u64,
-    /// Suspicions that this member came to by its own probe.
+    /// Suspicions raised by this member's own probes.
     pub suspicions: u64,
-    /// Suspicions that ran out here: members held last known by this one's own word.
+    /// Suspicions that timed out at this member, which then considered the suspect dead.
     pub deaths: u64,
-    /// Times this member spoke up against news of its own being suspected, last known or gone.
+    /// Times this member refuted an update that called it suspected, dead or left.
     pub refutations: u64,
-    /// Packets of another process by this member's name, and times this member spoke up because of one: a few after
-    /// a restart; a count that goes on growing means two live processes of one name.
+    /// Packets from another process that uses this member's id, and refutations caused by one. A
+    /// few are normal after a restart; a count that keeps growing means that two live processes
+    /// share one name.
     pub namesakes: u64,
-    /// Full exchanges asked for.
+    /// Full state syncs requested.
     pub syncs: u64,
-    /// Full exchanges given.
+    /// Full state syncs answered.
     pub given: u64,
-    /// Full exchanges and pings for others withheld, because too many were asked for at once.
+    /// Sync requests and indirect probe requests declined because too many came at once.
     pub withheld: u64,
-    /// News of a member dropped because the table is full.
+    /// Updates dropped because the member table is full.
     pub full: u64,
-    /// Members forgotten for age or to make room.
+    /// Members removed because their retention time was over or to make room.
     pub forgotten: u64,
-    /// Packets and updates dropped for a value that no honest member sends: a long name, an address nobody can
-    /// have, this member's own id, more updates than a packet may carry.
+    /// Packets and updates dropped for a value that no correct member sends: a name that is too
+    /// long, an unusable address, this member's own id, or more updates than a packet may carry.
     pub bad: u64,
-    /// Updates dropped for an incarnation that no honest member reaches.
+    /// Updates dropped for an incarnation that no correct member reaches.
     pub absurd: u64,
-    /// Wakes that came so late that this process must have stood still.
+    /// Wakes that came so late that this process must have been stalled.
     pub late: u64,
 }
 
-/// What is past decides nothing: two states that differ in their counts alone are one to a model checker.
+/// Counters influence no decision: for a model checker, states that differ only in them are equal.
 impl std::hash::Hash for Counts {
     fn hash<H: std::hash::Hasher>(&self, _: &mut H) {}
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,14 +1,15 @@
-//! Who is there: the members of a fleet of sidecars, as each of them sees it.
+//! Membership of a fleet of sidecars: each member's view of the others.
 //!
-//! A state machine without sockets, files, clocks or threads: it is told `(now, event)` and says what to do. The
-//! design, what it owes and the ways not taken stand in `docs/design/peers.md`; its times, as formulas, in
-//! [`bounds`].
+//! This is a state machine without sockets, files, clocks or threads: it takes `(now, event)` and returns the
+//! actions to carry out. `docs/design/peers.md` describes the design, its guarantees and the alternatives
+//! rejected; [`bounds`] has its timing formulas.
 //!
-//! [`Peers`] is SWIM with Lifeguard's additions. Each period it probes one member: a ping, then a ping through
-//! others, then a suspicion that the suspect can contradict under a higher incarnation. News of members travels on
-//! the packets that are sent anyway. It owes the embedder a bounded number of actions for each event, packets that
-//! fit [`PACKET_LIMIT`] and the same actions for the same events. The embedder owes time that never goes back and a
-//! wake soon after it was asked for; one that comes late is taken as a sign that the process stood still.
+//! [`Peers`] implements SWIM with Lifeguard's extensions. Each period it probes one member: a direct ping, then
+//! indirect pings through other members, then a suspicion that the suspect can refute under a higher
+//! incarnation. Updates about members are piggybacked on the packets that are sent anyway. For each event it
+//! returns a bounded number of actions, with packets that fit [`PACKET_LIMIT`]; the same events always lead to
+//! the same actions. The embedder must pass a time that never goes back, and a wake soon after the requested
+//! time; a late wake is taken as a sign that the process was stalled.
 //!
 //! ```
 //! use cottonpoint_decide::Time;
@@ -30,31 +31,31 @@
 //! first.handle(now, Event::Wake, &mut actions);
 //! actions.clear();
 //!
-//! // The second one starts and knocks at its seed, which is told of it by that.
+//! // The second member starts and pings its seed, which learns of it that way.
 //! second.handle(now, Event::Wake, &mut actions);
-//! let knock = actions.iter().find_map(|action| match action {
+//! let ping = actions.iter().find_map(|action| match action {
 //!     Action::Send { to, packet } if to.port() == 7001 => Some(packet.clone()),
 //!     _ => None,
 //! });
-//! first.handle(now, Event::Packet(&knock.unwrap()), &mut actions);
+//! first.handle(now, Event::Packet(&ping.unwrap()), &mut actions);
 //! assert_eq!(first.view().members.len(), 2);
 //! assert_eq!(first.view().part, Part::Whole);
 //! ```
 
-// No module imports one that imports it, directly or through others. From the lowest to the highest:
-// `interface`, `bounds` and `chance`; `gossip` and `table`; `state`; `news` and `packets`; `probe`; `receive`; `peers`.
+// Module dependencies are acyclic. From the lowest to the highest: `interface`, `bounds` and `random`;
+// `gossip` and `table`; `state`; `updates` and `packets`; `probe`; `receive`; `peers`.
 pub mod bounds;
 
-mod chance;
 mod gossip;
 mod interface;
-mod news;
 mod packets;
 mod peers;
 mod probe;
+mod random;
 mod receive;
 mod state;
 mod table;
+mod updates;
 
 pub use interface::*;
 pub use state::Peers;
--- a/crates/peers/src/packets.rs
+++ b/crates/peers/src/packets.rs
@@ -1,4 +1,4 @@
-//! Packets out: what rides on each, and full exchanges.
+//! Outgoing packets: piggybacked updates and full state syncs.
 
 use crate::bounds;
 use crate::gossip::Choice;
@@ -9,60 +9,68 @@
 use serde::Serialize;
 use std::net::SocketAddrV4;
 
-/// Full exchanges given in one period: a fleet that starts as one spreads what is known by doubling, and no member
-/// has to send more than that many tables.
-const GIVEN_LIMIT: u32 = 2;
-/// Members told goodbye in one round, and rounds: who leaves is gone before a period is over, and news that this
-/// many hold reaches the others by them.
-const GOODBYES: usize = 8;
-pub(crate) const GOODBYE_ROUNDS: u32 = 3;
+/// Sync requests answered in one period. A fleet that starts all at once spreads its state by
+/// doubling, and no member has to send its table more often than that.
+const SYNC_RESPONSES_LIMIT: u32 = 2;
+/// Members notified in one round of leave messages, and the number of rounds. A member that leaves
+/// is done before a period is over, and this many recipients gossip the update to the rest.
+const LEAVE_FANOUT: usize = 8;
+pub(crate) const LEAVE_ROUNDS: u32 = 3;
 
-/// What is left of a packet for updates. Measured by the codec that the shell sends by, as names and numbers are far
-/// shorter than they may be: three times as much news rides on a packet as if each were taken at its longest.
-struct Room {
+/// The space left on a packet for updates, measured with the codec that sends it. Names and numbers
+/// are usually far shorter than their limits, so a packet carries three times as many updates as if
+/// each were counted at its maximum size.
+struct RemainingSpace {
     bytes: usize,
     updates: usize,
 }
 
-impl Room {
-    fn after(packet: &Packet) -> Room {
+impl RemainingSpace {
+    fn after(packet: &Packet) -> RemainingSpace {
         let limit = PACKET_LIMIT - SEAL_ROOM;
-        Room { bytes: limit.saturating_sub(length(packet)), updates: UPDATES_LIMIT - packet.updates.len() }
+        RemainingSpace {
+            bytes: limit.saturating_sub(encoded_length(packet)),
+            updates: UPDATES_LIMIT - packet.updates.len(),
+        }
     }
 
-    /// Whether one more fits; then its room is taken.
-    fn holds(&mut self, news: &Update) -> bool {
-        let length = length(news);
-        let holds = length <= self.bytes && self.updates > 0;
-        if holds {
+    /// Reserves space for one more update; returns whether it fits.
+    fn reserve(&mut self, update: &Update) -> bool {
+        let length = encoded_length(update);
+        let fits = length <= self.bytes && self.updates > 0;
+        if fits {
             self.bytes -= length;
             self.updates -= 1;
         }
-        holds
+        fits
     }
 }
 
-fn length(value: &impl Serialize) -> usize {
-    // It fails for no value of these types; then nothing more rides.
+fn encoded_length(value: &impl Serialize) -> usize {
+    // Serializing these types never fails; if it did, no further updates would be added.
     postcard::serialize_with_flavor(value, postcard::ser_flavors::Size::default()).unwrap_or(PACKET_LIMIT)
 }
 
 impl Peers {
-    /// Sends a packet with the news that are due; `of` is the receiver as it last showed itself, if it just did.
-    /// What it has to contradict rides first.
+    /// Sends a packet with the queued updates. `receiver` is the receiver's own state if it has just been
+    /// received: an update held here that takes precedence over it is put first, so that the
+    /// receiver can refute it.
     pub(crate) fn send(
         &mut self,
         to: SocketAddrV4,
-        of: Option<&Update>,
+        receiver: Option<&Update>,
         body: Body,
         actions: &mut Vec<Action>,
     ) {
-        let held = of.and_then(|of| self.table.get(of.id).filter(|held| held.rank() > of.rank()));
+        let held = receiver.and_then(|receiver| {
+            self.table.get(receiver.id).filter(|held| held.precedence() > receiver.precedence())
+        });
         let first = held.cloned();
-        self.send_with(to, of.map(|of| of.id), first, body, actions);
+        self.send_with(to, receiver.map(|receiver| receiver.id), first, body, actions);
     }
 
-    /// Sends a packet to a member held.
+    /// Sends a packet to a known member, with the update about it first if it is not held as
+    /// reachable.
     pub(crate) fn send_to(&mut self, id: MemberId, body: Body, actions: &mut Vec<Action>) {
         let Some(held) = self.table.get(id).cloned() else { return };
         let to = held.address;
@@ -70,25 +78,26 @@
         self.send_with(to, Some(id), first, body, actions);
     }
 
-    /// Sends a packet on which that news rides first.
+    /// Sends a packet with the given update first.
     pub(crate) fn send_with(
         &mut self,
         to: SocketAddrV4,
-        id: Option<MemberId>,
+        receiver: Option<MemberId>,
         first: Option<Update>,
         body: Body,
         actions: &mut Vec<Action>,
     ) {
-        let mut packet = Packet { from: self.own.news.clone(), body, updates: first.into_iter().collect() };
+        let mut packet =
+            Packet { from: self.local.update.clone(), body, updates: first.into_iter().collect() };
         if !self.has_left() {
-            let (table, limit) = (&self.table, bounds::sends(self.size()));
-            let mut room = Room::after(&packet);
+            let (table, limit) = (&self.table, bounds::retransmit_limit(self.alive_count()));
+            let mut space = RemainingSpace::after(&packet);
             self.gossip.take(limit, |next| match table.get(next) {
-                Some(news) if Some(next) != id => {
-                    if !room.holds(news) {
+                Some(update) if Some(next) != receiver => {
+                    if !space.reserve(update) {
                         return Choice::Full;
                     }
-                    packet.updates.push(news.clone());
+                    packet.updates.push(update.clone());
                     Choice::Take
                 }
                 _ => Choice::Skip,
@@ -97,45 +106,46 @@
         actions.push(Action::Send { to, packet });
     }
 
-    /// Tells all that is known, in as many packets as it takes.
-    pub(crate) fn tell_all(&mut self, to: &Update, actions: &mut Vec<Action>) {
-        if self.syncs.given >= GIVEN_LIMIT {
+    /// Answers a sync request with all members known, in as many packets as needed.
+    pub(crate) fn answer_sync_request(&mut self, to: &Update, actions: &mut Vec<Action>) {
+        if self.sync_state.answered >= SYNC_RESPONSES_LIMIT {
             self.counts.withheld += 1;
             return;
         }
-        self.syncs.given += 1;
+        self.sync_state.answered += 1;
         self.counts.given += 1;
-        let empty = Packet { from: self.own.news.clone(), body: Body::Known, updates: Vec::new() };
-        let (mut packet, mut room) = (empty.clone(), Room::after(&empty));
-        for news in self.table.worth_telling(self.now) {
-            if !room.holds(news) {
+        let empty = Packet { from: self.local.update.clone(), body: Body::Known, updates: Vec::new() };
+        let (mut packet, mut space) = (empty.clone(), RemainingSpace::after(&empty));
+        for update in self.table.sync_entries(self.now) {
+            if !space.reserve(update) {
                 let full = std::mem::replace(&mut packet, empty.clone());
                 actions.push(Action::Send { to: to.address, packet: full });
-                room = Room::after(&empty);
-                room.holds(news);
+                space = RemainingSpace::after(&empty);
+                space.reserve(update);
             }
-            packet.updates.push(news.clone());
+            packet.updates.push(update.clone());
         }
         actions.push(Action::Send { to: to.address, packet });
     }
 
-    /// Asks a member for all that it knows, now or in the next period: once a period is enough.
-    pub(crate) fn ask_all(&mut self, id: MemberId, actions: &mut Vec<Action>) {
-        self.syncs.wanted = self.syncs.wanted.max(1);
-        if !self.syncs.asked {
-            self.syncs.asked = true;
-            self.syncs.from = Some(id);
-            self.syncs.taught = None;
+    /// Requests a full state sync from a member, or leaves it to the next period: one request a
+    /// period is enough.
+    pub(crate) fn request_sync(&mut self, id: MemberId, actions: &mut Vec<Action>) {
+        self.sync_state.remaining = self.sync_state.remaining.max(1);
+        if !self.sync_state.requested {
+            self.sync_state.requested = true;
+            self.sync_state.source = Some(id);
+            self.sync_state.changes = None;
             self.counts.syncs += 1;
             self.send_to(id, Body::Sync, actions);
         }
     }
 
-    /// One round of goodbyes, to members drawn at random.
-    pub(crate) fn goodbye(&mut self, actions: &mut Vec<Action>) {
-        let mut all = self.table.of(Standing::is_alive);
-        self.chance.shuffle(&mut all);
-        for id in all.into_iter().take(GOODBYES) {
+    /// Sends one round of leave messages to random members.
+    pub(crate) fn send_leave_round(&mut self, actions: &mut Vec<Action>) {
+        let mut all = self.table.ids_in_state(Standing::is_alive);
+        self.random.shuffle(&mut all);
+        for id in all.into_iter().take(LEAVE_FANOUT) {
             self.send_to(id, Body::Leave, actions);
         }
     }
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -1,126 +1,140 @@
-//! The way in: a new member, its events and its view. What an event does stands in `receive` and `probe`.
+//! The entry points: construction, events and the view. `receive` and `probe` hold what an event
+//! does.
 
-use crate::chance::Chance;
 use crate::gossip::Gossip;
 use crate::interface::{Action, Counts, Event, Member, NAME_LIMIT, Part, Settings, Standing, Update, View};
-use crate::news::CEILING;
-use crate::state::{Own, Peers, Syncs, Version};
+use crate::random::Random;
+use crate::state::{LocalMember, Peers, SyncState, Version};
 use crate::table::Table;
+use crate::updates::INCARNATION_LIMIT;
 use cottonpoint_decide::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The shortest period: a machine of this kind has no business faster than that, and no time may be zero.
-const PERIOD_LEAST: Duration = Duration::from_millis(1);
-/// Exchanges asked for by a newcomer, of different members: with one packet in ten lost, three leave out one member
-/// in a thousand.
+/// The minimum period: shorter ones make no sense for this protocol, and a period of zero must not
+/// occur.
+const MIN_PERIOD: Duration = Duration::from_millis(1);
+/// Full syncs that a new member requests, from different members. At 10% packet loss all three fail
+/// for one member in a thousand.
 const SYNCS_AT_START: u32 = 3;
 
 impl Peers {
-    /// A member that has not started yet: the first [`Event::Wake`] starts it. A name over [`NAME_LIMIT`] bytes is
-    /// cut, a period under a millisecond is taken as one.
+    /// Creates a member that has not started: the first [`Event::Wake`] starts it. A name over
+    /// [`NAME_LIMIT`] bytes is truncated; a period under a millisecond is raised to one.
     pub fn new(settings: Settings, now: Time) -> Peers {
-        let period = settings.period.max(PERIOD_LEAST);
+        let period = settings.period.max(MIN_PERIOD);
         let name: String = settings
             .name
             .char_indices()
-            .take_while(|(at, letter)| at + letter.len_utf8() <= NAME_LIMIT)
-            .map(|(_, letter)| letter)
+            .take_while(|(offset, character)| offset + character.len_utf8() <= NAME_LIMIT)
+            .map(|(_, character)| character)
             .collect();
         let seeds = settings.seeds.iter().copied().filter(|seed| *seed != settings.address).collect();
-        let news = Update {
+        let update = Update {
             id: settings.me,
             name: name.clone(),
             address: settings.address,
-            incarnation: settings.incarnation.clamp(1, CEILING - 1),
+            incarnation: settings.incarnation.clamp(1, INCARNATION_LIMIT - 1),
             boot: settings.boot,
             standing: Standing::Reachable,
             by: settings.me,
         };
         Peers {
-            chance: Chance::new(settings.seed),
+            random: Random::new(settings.seed),
             settings: Settings { period, name, seeds, ..settings },
-            own: Own { news, since: now, claim: None, next_raise: now, goodbyes: 0 },
+            local: LocalMember {
+                update,
+                since: now,
+                pending_refutation: None,
+                next_refutation: now,
+                leave_rounds: 0,
+            },
             table: Table::default(),
             suspicions: BTreeMap::new(),
             gossip: Gossip::default(),
             now,
-            asked: None,
+            requested_wake: None,
             next_period: now,
-            next_knock: now,
+            next_suspect_ping: now,
             probe: None,
-            unanswered: Vec::new(),
-            round: Vec::new(),
-            helped: Vec::new(),
-            unwell: 0,
-            syncs: Syncs { wanted: SYNCS_AT_START, from: None, taught: None, asked: false, given: 0 },
-            met: false,
+            failed_probes: Vec::new(),
+            probe_order: Vec::new(),
+            indirect_pings: Vec::new(),
+            local_health: 0,
+            sync_state: SyncState {
+                remaining: SYNCS_AT_START,
+                source: None,
+                changes: None,
+                requested: false,
+                answered: 0,
+            },
+            has_met_peer: false,
             version: Version(1),
             counts: Counts::default(),
         }
     }
 
-    /// Tells it what happened; what it asks for is added to `actions`. An event before the last one's time is taken
-    /// as one at that time.
+    /// Processes an event and appends the resulting actions to `actions`. An event dated before the
+    /// previous one is treated as if it came at the same time.
     pub fn handle(&mut self, now: Time, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        match (self.asked, event) {
+        match (self.requested_wake, event) {
             (None, Event::Wake) => self.next_period = self.now,
             (None, _) => return,
-            (Some(asked), _) if self.now.since(asked) > self.settings.period / 2 => {
-                self.stood_still(self.now.since(asked));
+            (Some(wake), _) if self.now.since(wake) > self.settings.period / 2 => {
+                self.handle_stall(self.now.since(wake));
             }
             _ => {}
         }
         match event {
-            Event::Packet(packet) => self.packet(packet, actions),
+            Event::Packet(packet) => self.handle_packet(packet, actions),
             Event::Wake => {}
             Event::Leave => self.leave(),
             Event::Join => self.join(),
-            Event::NotSent(packet) => self.not_sent(&packet.body),
+            Event::NotSent(packet) => self.handle_send_failure(&packet.body),
         }
-        self.due(actions);
+        self.run_due_actions(actions);
         let next = self.next_wake();
-        if self.asked != Some(next) || matches!(event, Event::Wake) {
-            self.asked = Some(next);
+        if self.requested_wake != Some(next) || matches!(event, Event::Wake) {
+            self.requested_wake = Some(next);
             actions.push(Action::WakeAt(next));
         }
     }
 
-    /// Who is there now.
+    /// The fleet as this member sees it now.
     pub fn view(&self) -> View {
-        let me = Member { news: self.own.news.clone(), since: self.own.since };
+        let me = Member { news: self.local.update.clone(), since: self.local.since };
         let mut members: Vec<_> = self.table.members().chain([me]).collect();
         members.sort_by_key(|member| member.news.id);
         View {
             version: self.version.0,
             me: self.settings.me,
-            incarnation: self.own.news.incarnation,
+            incarnation: self.local.update.incarnation,
             part: self.part(&members),
             members,
-            unwell: self.unwell,
+            unwell: self.local_health,
         }
     }
 
-    /// The version of [`Peers::view`], without the cost of one.
+    /// The version of [`Peers::view`], without building the view.
     pub fn version(&self) -> u64 {
         self.version.0
     }
 
-    /// What has happened so far.
+    /// The event counters.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// A suspect counts among those that answer until its time has run out: else each lost packet would make a
-    /// whole fleet look less than whole.
+    /// Suspects count as answering until their timeout expires; otherwise each lost packet would
+    /// make the whole fleet look partitioned.
     fn part(&self, members: &[Member]) -> Part {
-        let staying = || members.iter().filter(|member| member.news.standing != Standing::Left);
-        let lowest = staying().next().is_some_and(|lowest| lowest.news.standing.is_alive());
-        let alive = staying().filter(|member| member.news.standing.is_alive()).count();
-        let all = staying().count();
+        let not_left = || members.iter().filter(|member| member.news.standing != Standing::Left);
+        let lowest = not_left().next().is_some_and(|lowest| lowest.news.standing.is_alive());
+        let alive = not_left().filter(|member| member.news.standing.is_alive()).count();
+        let all = not_left().count();
         match () {
-            () if !self.met => Part::Alone,
+            () if !self.has_met_peer => Part::Alone,
             () if alive == all => Part::Whole,
             () if 2 * alive > all || (2 * alive == all && lowest) => Part::Larger,
             () => Part::Smaller,
--- a/crates/peers/src/probe.rs
+++ b/crates/peers/src/probe.rs
@@ -1,324 +1,354 @@
-//! The period: whom to probe, when to ask others, when to suspect, at whom else to knock.
+//! The protocol period: direct and indirect probes, suspicion, and pings outside the probe
+//! schedule.
 
 use crate::bounds;
 use crate::interface::{Action, Body, MemberId, Standing};
-use crate::packets::GOODBYE_ROUNDS;
+use crate::packets::LEAVE_ROUNDS;
 use crate::state::{Peers, Probe};
 use cottonpoint_decide::Time;
 use std::time::Duration;
 
-/// Probes without an answer that are remembered: an answer that is late by that many periods still shows that the
-/// waits are too short, and those grow with the first that comes.
-const UNANSWERED: usize = 4;
+/// Failed probes that are remembered. An answer that is late by up to this many periods still shows
+/// that the timeouts are too short, and the first one that comes lengthens them.
+const FAILED_PROBES_LIMIT: usize = 4;
 
-/// Suspects pinged at one time for the last time: after a split half of the fleet may be due at once.
-const LAST_KNOCKS: usize = 8;
+/// Suspects that get a final ping at one time. After a partition, half of the fleet may be due at
+/// once.
+const FINAL_PINGS_LIMIT: usize = 8;
 
-/// Changes by a full exchange up to which it need not be had again: as many travel by themselves.
-const SYNC_AGAIN: u64 = 8;
+/// A full sync that changed at most this many entries need not be repeated: that many updates
+/// spread by gossip alone.
+const SYNC_REPEAT_THRESHOLD: u64 = 8;
 
 impl Peers {
-    /// The period as it is kept now.
-    fn stretched(&self, wait: Duration) -> Duration {
-        wait * (self.unwell + 1)
+    /// A timeout scaled by the local health score.
+    fn scaled_by_local_health(&self, timeout: Duration) -> Duration {
+        timeout * (self.local_health + 1)
     }
 
-    /// This process stood still (stopped, swapped out, on a machine asleep) for that long: its silence is its own
-    /// fault, and so may be that of all others. What was under way gets its whole time again, it is unwell by one
-    /// more, and asks for what it missed.
-    pub(crate) fn stood_still(&mut self, late: Duration) {
+    /// Handles a wake that came late by `late`: the process was stalled (stopped, swapped out, or
+    /// its machine asleep), so the lack of answers, possibly from all members, may be its own
+    /// fault. Suspicions get their whole timeout again, the local health score increases, and a
+    /// sync fetches what was missed.
+    pub(crate) fn handle_stall(&mut self, late: Duration) {
         self.counts.late += 1;
         for suspicion in self.suspicions.values_mut() {
             suspicion.start = suspicion.start + late;
         }
-        self.helped.clear();
-        self.set_unwell(self.unwell + 1);
+        self.indirect_pings.clear();
+        self.set_local_health(self.local_health + 1);
         if let Some(probe) = self.probe.take() {
-            // Probed anew in the period that starts with this event.
-            self.round.push(probe.whom);
+            // It is probed again in the period that starts with this event.
+            self.probe_order.push(probe.target);
         }
         self.next_period = self.now;
-        self.syncs.wanted = self.syncs.wanted.max(1);
+        self.sync_state.remaining = self.sync_state.remaining.max(1);
     }
 
-    /// That could not be sent, by a fault of this process. A member that was not pinged is not suspected for its silence: it is
-    /// probed in the next period instead.
-    pub(crate) fn not_sent(&mut self, body: &Body) {
-        let Body::Ping { number } = body else { return };
-        let not_pinged = |probe: &mut Probe| probe.number == *number && probe.direct_until.is_some();
+    /// Handles a packet that could not be sent because of a fault of this process. A member that
+    /// was not pinged must not be suspected for its silence; it is probed in the next period
+    /// instead.
+    pub(crate) fn handle_send_failure(&mut self, body: &Body) {
+        let Body::Ping { nonce } = body else { return };
+        let not_pinged = |probe: &mut Probe| probe.nonce == *nonce && probe.direct_deadline.is_some();
         if let Some(probe) = self.probe.take_if(not_pinged) {
-            self.round.push(probe.whom);
+            self.probe_order.push(probe.target);
         }
     }
 
-    /// All that is due by now.
-    pub(crate) fn due(&mut self, actions: &mut Vec<Action>) {
+    /// Runs all actions that are due.
+    pub(crate) fn run_due_actions(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         if self.has_left() {
             if self.next_period <= now {
-                self.say_goodbye(actions);
+                self.continue_leaving(actions);
             }
             return;
         }
-        self.speak_up();
-        let (late, waiting) = std::mem::take(&mut self.helped).into_iter().partition(|it| it.until <= now);
-        self.helped = waiting;
-        let late: Vec<_> = late;
-        for helped in late {
-            let body = Body::Nack { number: helped.asked };
-            self.send(helped.asker.address, Some(&helped.asker), body, actions);
+        self.refute_if_due();
+        let (expired, pending) =
+            std::mem::take(&mut self.indirect_pings).into_iter().partition(|it| it.deadline <= now);
+        self.indirect_pings = pending;
+        let expired: Vec<_> = expired;
+        for ping in expired {
+            let body = Body::Nack { nonce: ping.requester_nonce };
+            self.send(ping.requester.address, Some(&ping.requester), body, actions);
         }
-        if self.probe.as_ref().and_then(|probe| probe.direct_until).is_some_and(|until| until <= now) {
-            self.ask_helpers(actions);
+        if self
+            .probe
+            .as_ref()
+            .and_then(|probe| probe.direct_deadline)
+            .is_some_and(|deadline| deadline <= now)
+        {
+            self.request_indirect_probes(actions);
         }
         if self.next_period <= now {
-            self.period(actions);
+            self.start_period(actions);
         }
-        // After the probe that the period ended: it may have been what confirms a suspicion long under way.
-        self.end_suspicions();
-        if self.knock_due().is_some_and(|due| due <= now) {
-            // Thrice a period, however unwell this member is: one that lives must hear of it before its time is up.
-            self.next_knock = now + self.settings.period / bounds::PARTS;
-            let suspects: Vec<_> = self.own_suspects().collect();
-            self.knock(&suspects, actions);
-            self.last_knocks(actions);
+        // This follows the probe that ended with the period, which may have confirmed a
+        // long-running suspicion.
+        self.expire_suspicions();
+        if self.suspect_ping_due().is_some_and(|due| due <= now) {
+            // Three times a period, regardless of the local health score: a live suspect has to
+            // learn of the suspicion before it times out.
+            self.next_suspect_ping = now + self.settings.period / bounds::PROBE_PHASES;
+            let suspects: Vec<_> = self.locally_suspected().collect();
+            self.ping_random(&suspects, actions);
+            self.send_final_pings(actions);
         }
     }
 
-    /// When something falls due next.
+    /// The time of the next scheduled action.
     pub(crate) fn next_wake(&self) -> Time {
         if self.has_left() {
             return self.next_period;
         }
-        let raise = self.own.claim.map(|_| self.own.next_raise);
-        let helped = self.helped.iter().map(|helped| helped.until).min();
-        let probe = self.probe.as_ref().and_then(|probe| probe.direct_until);
-        let suspicions = self.suspicions.values().map(|it| self.ends(it)).min();
-        [raise, helped, probe, suspicions, self.knock_due()]
+        let refutation = self.local.pending_refutation.map(|_| self.local.next_refutation);
+        let indirect_ping = self.indirect_pings.iter().map(|ping| ping.deadline).min();
+        let probe = self.probe.as_ref().and_then(|probe| probe.direct_deadline);
+        let suspicions = self.suspicions.values().map(|it| self.suspicion_deadline(it)).min();
+        [refutation, indirect_ping, probe, suspicions, self.suspect_ping_due()]
             .into_iter()
             .flatten()
             .fold(self.next_period, Time::min)
     }
 
-    /// Goodbyes, some a quarter of a period for as long as there are rounds; then nothing.
-    fn say_goodbye(&mut self, actions: &mut Vec<Action>) {
+    /// Sends leave messages every quarter of a period until all rounds are sent, then nothing.
+    fn continue_leaving(&mut self, actions: &mut Vec<Action>) {
         self.next_period = self.now + self.settings.period / 4;
-        if self.own.goodbyes > 0 {
-            self.own.goodbyes -= 1;
-            self.goodbye(actions);
+        if self.local.leave_rounds > 0 {
+            self.local.leave_rounds -= 1;
+            self.send_leave_round(actions);
         } else {
             self.next_period = self.now + self.settings.period;
         }
     }
 
-    fn period(&mut self, actions: &mut Vec<Action>) {
+    fn start_period(&mut self, actions: &mut Vec<Action>) {
         self.end_probe();
-        for id in self.table.outdated(self.now) {
-            self.forget(id);
+        for id in self.table.past_retention(self.now) {
+            self.remove_member(id);
         }
-        self.end_sync();
-        self.next_period = self.now + self.stretched(self.settings.period);
-        match self.next_in_round() {
-            Some(whom) => {
-                let number = self.chance.number();
-                let direct_until = Some(self.now + self.stretched(self.settings.period / bounds::PARTS));
-                let (silent, helpers, awaited) = (Vec::new(), Vec::new(), true);
-                self.probe = Some(Probe { whom, number, direct_until, silent, helpers, awaited });
+        self.finish_sync();
+        self.next_period = self.now + self.scaled_by_local_health(self.settings.period);
+        match self.next_probe_target() {
+            Some(target) => {
+                let nonce = self.random.nonce();
+                let direct_deadline = Some(
+                    self.now + self.scaled_by_local_health(self.settings.period / bounds::PROBE_PHASES),
+                );
+                let (silent_helpers, helpers, target_may_answer) = (Vec::new(), Vec::new(), true);
+                self.probe = Some(Probe {
+                    target,
+                    nonce,
+                    direct_deadline,
+                    silent_helpers,
+                    helpers,
+                    target_may_answer,
+                });
                 self.counts.pings += 1;
-                self.send_to(whom, Body::Ping { number }, actions);
+                self.send_to(target, Body::Ping { nonce }, actions);
             }
-            // Nobody is there to be unwell towards.
-            None => self.set_unwell(self.unwell.saturating_sub(1)),
+            // There is no member to probe, so nothing can worsen the score; it recovers.
+            None => self.set_local_health(self.local_health.saturating_sub(1)),
         }
-        self.knocks(actions);
-        if self.syncs.wanted > 0 {
-            let reachable = self.table.of(|standing| standing == Standing::Reachable);
-            if let Some(id) = self.chance.one_of(&reachable) {
-                self.ask_all(id, actions);
+        self.send_reconnect_pings(actions);
+        if self.sync_state.remaining > 0 {
+            let reachable = self.table.ids_in_state(|standing| standing == Standing::Reachable);
+            if let Some(id) = self.random.choose(&reachable) {
+                self.request_sync(id, actions);
             }
         }
     }
 
-    /// Who was asked for all it knows has had a period to answer. If that taught much, somebody knows more yet:
-    /// a fleet that starts or heals as one learns by asking on, each period another member, until little is new.
-    fn end_sync(&mut self) {
-        if self.syncs.taught.take().is_some_and(|taught| taught <= SYNC_AGAIN) {
-            self.syncs.wanted = self.syncs.wanted.saturating_sub(1);
+    /// Closes the sync requested in the last period, which has had a period to be answered. If it
+    /// changed much, other members are likely to know still more: a fleet that starts or heals all
+    /// at once keeps syncing, with another member each period, until little is new.
+    fn finish_sync(&mut self) {
+        if self.sync_state.changes.take().is_some_and(|changes| changes <= SYNC_REPEAT_THRESHOLD) {
+            self.sync_state.remaining = self.sync_state.remaining.saturating_sub(1);
         }
-        (self.syncs.from, self.syncs.asked, self.syncs.given) = (None, false, 0);
+        (self.sync_state.source, self.sync_state.requested, self.sync_state.answered) = (None, false, 0);
     }
 
-    /// The next member in a round in which each is probed once, in an order drawn anew for each.
-    fn next_in_round(&mut self) -> Option<MemberId> {
+    /// The next member to probe. Each round probes every member once, in a new random order.
+    fn next_probe_target(&mut self) -> Option<MemberId> {
         for _ in 0..2 {
-            while let Some(id) = self.round.pop() {
+            while let Some(id) = self.probe_order.pop() {
                 if self.table.standing(id).is_some_and(Standing::is_alive) {
                     return Some(id);
                 }
             }
-            self.round = self.table.of(Standing::is_alive);
-            self.chance.shuffle(&mut self.round);
+            self.probe_order = self.table.ids_in_state(Standing::is_alive);
+            self.random.shuffle(&mut self.probe_order);
         }
         None
     }
 
-    /// The direct ping was not answered in time: others are asked, drawn at random among those that answer.
-    fn ask_helpers(&mut self, actions: &mut Vec<Action>) {
+    /// The direct ping timed out: asks random reachable members to probe the target indirectly.
+    fn request_indirect_probes(&mut self, actions: &mut Vec<Action>) {
         let Some(mut probe) = self.probe.take() else { return };
-        probe.direct_until = None;
-        let mut others = self.table.of(|standing| standing == Standing::Reachable);
-        others.retain(|id| *id != probe.whom);
-        self.chance.shuffle(&mut others);
+        probe.direct_deadline = None;
+        let mut others = self.table.ids_in_state(|standing| standing == Standing::Reachable);
+        others.retain(|id| *id != probe.target);
+        self.random.shuffle(&mut others);
         others.truncate(bounds::HELPERS);
-        if let Some(address) = self.table.get(probe.whom).map(|held| held.address) {
-            let body = Body::PingFor { number: probe.number, whom: probe.whom, address };
+        if let Some(address) = self.table.get(probe.target).map(|held| held.address) {
+            let body = Body::PingFor { nonce: probe.nonce, target: probe.target, address };
             for helper in &others {
                 self.send_to(*helper, body.clone(), actions);
             }
         }
-        (probe.silent, probe.helpers) = (others.clone(), others);
+        (probe.silent_helpers, probe.helpers) = (others.clone(), others);
         self.probe = Some(probe);
     }
 
-    /// The period is over: whoever was probed in it and has not answered is suspected.
+    /// Ends the period's probe: a target that has not answered is suspected.
     fn end_probe(&mut self) {
         let Some(probe) = self.probe.take() else { return };
-        if !self.table.standing(probe.whom).is_some_and(Standing::is_alive) {
+        if !self.table.standing(probe.target).is_some_and(Standing::is_alive) {
             return;
         }
-        self.suspect(probe.whom);
-        if self.unanswered.len() == UNANSWERED {
-            self.unanswered.remove(0);
+        self.suspect(probe.target);
+        if self.failed_probes.len() == FAILED_PROBES_LIMIT {
+            self.failed_probes.remove(0);
         }
-        self.unanswered.push(probe);
+        self.failed_probes.push(probe);
     }
 
-    /// The member probed has answered, directly or through a helper; or one pinged for another has.
-    pub(crate) fn acked(&mut self, from: MemberId, number: u32, actions: &mut Vec<Action>) {
-        let ours =
-            |probe: &Probe| probe.number == number && (probe.whom == from || probe.helpers.contains(&from));
-        if self.probe.as_ref().is_some_and(ours) {
+    /// Handles an ack: from the target or a helper of the current probe, or from a member pinged on
+    /// behalf of another.
+    pub(crate) fn handle_ack(&mut self, from: MemberId, nonce: u32, actions: &mut Vec<Action>) {
+        let is_current =
+            |probe: &Probe| probe.nonce == nonce && (probe.target == from || probe.helpers.contains(&from));
+        if self.probe.as_ref().is_some_and(is_current) {
             self.probe = None;
             self.counts.acks += 1;
-            self.set_unwell(self.unwell.saturating_sub(1));
+            self.set_local_health(self.local_health.saturating_sub(1));
         }
-        self.late_answer(from, number);
-        let helped = self.helped.iter().position(|helped| helped.number == number && helped.whom == from);
-        if let Some(helped) = helped.map(|at| self.helped.swap_remove(at)) {
-            let body = Body::Ack { number: helped.asked };
-            self.send(helped.asker.address, Some(&helped.asker), body, actions);
+        self.handle_late_answer(from, nonce);
+        let position =
+            self.indirect_pings.iter().position(|ping| ping.nonce == nonce && ping.target == from);
+        if let Some(ping) = position.map(|at| self.indirect_pings.swap_remove(at)) {
+            let body = Body::Ack { nonce: ping.requester_nonce };
+            self.send(ping.requester.address, Some(&ping.requester), body, actions);
         }
     }
 
-    /// A helper has no answer either.
-    pub(crate) fn nacked(&mut self, from: MemberId, number: u32) {
-        if let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == number)
-            && let Some(at) = probe.silent.iter().position(|id| *id == from)
+    /// Handles a nack: a helper got no answer either.
+    pub(crate) fn handle_nack(&mut self, from: MemberId, nonce: u32) {
+        if let Some(probe) = self.probe.as_mut().filter(|probe| probe.nonce == nonce)
+            && let Some(at) = probe.silent_helpers.iter().position(|id| *id == from)
         {
-            probe.silent.swap_remove(at);
+            probe.silent_helpers.swap_remove(at);
             self.counts.nacks += 1;
         }
-        self.late_answer(from, number);
+        self.handle_late_answer(from, nonce);
     }
 
-    /// An answer to a probe that was over: this member's waits are too short, by its own fault or by that of its
-    /// links. Silence alone is no such sign: in the small part of a split most are silent, and there longer waits
-    /// would only put off the finding.
-    fn late_answer(&mut self, from: MemberId, number: u32) {
-        let Some(probe) = self.unanswered.iter_mut().find(|probe| probe.number == number) else { return };
-        let silent = probe.silent.iter().position(|id| *id == from);
-        let late = match silent {
+    /// Handles an answer to a probe that has already failed: this member's timeouts are too short,
+    /// because of itself or its links. Silence alone is no evidence of that: in the minority side
+    /// of a partition most members are silent, and longer timeouts would only delay the detection.
+    fn handle_late_answer(&mut self, from: MemberId, nonce: u32) {
+        let Some(probe) = self.failed_probes.iter_mut().find(|it| it.nonce == nonce) else {
+            return;
+        };
+        let helper = probe.silent_helpers.iter().position(|id| *id == from);
+        let late = match helper {
             Some(at) => {
-                probe.silent.swap_remove(at);
+                probe.silent_helpers.swap_remove(at);
                 true
             }
-            None => probe.whom == from && std::mem::take(&mut probe.awaited),
+            None => probe.target == from && std::mem::take(&mut probe.target_may_answer),
         };
         if late {
-            self.set_unwell(self.unwell + 1);
+            self.set_local_health(self.local_health + 1);
         }
     }
 
-    /// Those that this member suspects by its own probe.
-    fn own_suspects(&self) -> impl Iterator<Item = MemberId> {
+    /// Members that this member's own probes suspect.
+    fn locally_suspected(&self) -> impl Iterator<Item = MemberId> {
         let me = self.settings.me;
-        self.suspicions.iter().filter(move |(_, it)| it.by.contains(&me)).map(|(id, _)| *id)
+        self.suspicions.iter().filter(move |(_, it)| it.suspected_by.contains(&me)).map(|(id, _)| *id)
     }
 
-    /// Suspicions in whose last period the suspect is yet to be pinged, and when that period starts.
-    fn unknocked(&self) -> impl Iterator<Item = (MemberId, Time)> {
+    /// Suspicions whose suspect has not yet got its final ping, and the time from which that ping
+    /// is due: one period before the timeout.
+    fn pending_final_pings(&self) -> impl Iterator<Item = (MemberId, Time)> {
         let period = self.settings.period.as_nanos() as u64;
-        let waiting = self.suspicions.iter().filter(|(_, it)| !it.knocked);
-        waiting.map(move |(id, it)| (*id, Time(self.ends(it).0.saturating_sub(period))))
+        let unpinged = self.suspicions.iter().filter(|(_, it)| !it.final_ping_sent);
+        unpinged.map(move |(id, it)| (*id, Time(self.suspicion_deadline(it).0.saturating_sub(period))))
     }
 
-    /// When a knock at suspects is due, if there are any to be knocked at.
-    fn knock_due(&self) -> Option<Time> {
-        let own = self.own_suspects().next().map(|_| self.next_knock);
-        let last = self.unknocked().map(|(_, from)| from.max(self.next_knock)).min();
-        own.into_iter().chain(last).min()
+    /// When the next ping to suspects is due, if there are any to be pinged.
+    fn suspect_ping_due(&self) -> Option<Time> {
+        let local = self.locally_suspected().next().map(|_| self.next_suspect_ping);
+        let last = self.pending_final_pings().map(|(_, from)| from.max(self.next_suspect_ping)).min();
+        local.into_iter().chain(last).min()
     }
 
-    /// Pings suspects in the last period of their time, whoever suspected them: one that lives may have contradicted
-    /// it long since, unheard here.
-    fn last_knocks(&mut self, actions: &mut Vec<Action>) {
+    /// Pings suspects in the last period of their timeout, whichever member suspected them: a live
+    /// suspect may have refuted the suspicion long ago without this member having received it.
+    fn send_final_pings(&mut self, actions: &mut Vec<Action>) {
         let due: Vec<_> =
-            self.unknocked().filter(|(_, from)| *from <= self.now).map(|(id, _)| id).collect();
-        for id in due.into_iter().take(LAST_KNOCKS) {
+            self.pending_final_pings().filter(|(_, from)| *from <= self.now).map(|(id, _)| id).collect();
+        for id in due.into_iter().take(FINAL_PINGS_LIMIT) {
             if let Some(suspicion) = self.suspicions.get_mut(&id) {
-                suspicion.knocked = true;
+                suspicion.final_ping_sent = true;
             }
-            self.knock(&[id], actions);
+            self.ping_random(&[id], actions);
         }
     }
 
-    /// Pings one of these beside the probe, drawn at random.
-    fn knock(&mut self, at: &[MemberId], actions: &mut Vec<Action>) {
-        if let Some(id) = self.chance.one_of(at) {
+    /// Pings a random one of these members outside the probe schedule.
+    fn ping_random(&mut self, candidates: &[MemberId], actions: &mut Vec<Action>) {
+        if let Some(id) = self.random.choose(candidates) {
             self.counts.knocks += 1;
-            let number = self.chance.number();
-            self.send_to(id, Body::Ping { number }, actions);
+            let nonce = self.random.nonce();
+            self.send_to(id, Body::Ping { nonce }, actions);
         }
     }
 
-    /// Knocks of each period, so that splits heal and a fleet that starts does not stay in parts: at one last known,
-    /// and at one seed where nobody is known to be alive. Where all seeds are known and well this costs nothing.
-    fn knocks(&mut self, actions: &mut Vec<Action>) {
-        let gone = self.table.of(|standing| standing == Standing::LastKnown);
-        self.knock(&gone, actions);
-        let met = self.table.alive_at(&self.settings.seeds);
-        let unmet: Vec<_> =
-            self.settings.seeds.iter().filter(|seed| !met.contains(seed)).copied().collect();
-        if let Some(seed) = self.chance.one_of(&unmet) {
+    /// The pings of each period that let partitions heal and keep a starting fleet from staying
+    /// split: to one dead member, and to one seed at which no live member is known. If all seeds
+    /// are known and alive, this costs nothing.
+    fn send_reconnect_pings(&mut self, actions: &mut Vec<Action>) {
+        let dead = self.table.ids_in_state(|standing| standing == Standing::LastKnown);
+        self.ping_random(&dead, actions);
+        let known = self.table.alive_at(&self.settings.seeds);
+        let unknown: Vec<_> =
+            self.settings.seeds.iter().filter(|seed| !known.contains(seed)).copied().collect();
+        if let Some(seed) = self.random.choose(&unknown) {
             self.counts.knocks += 1;
-            let number = self.chance.number();
-            self.send(seed, None, Body::Ping { number }, actions);
+            let nonce = self.random.nonce();
+            self.send(seed, None, Body::Ping { nonce }, actions);
         }
     }
 
-    /// Says goodbye: others hold it as left, and it sends nothing more but goodbyes.
+    /// Leaves the fleet: other members hold it as left, and it sends nothing but leave messages.
     pub(crate) fn leave(&mut self) {
         if !self.has_left() {
-            self.own.news.standing = Standing::Left;
-            self.own.since = self.now;
-            self.own.goodbyes = GOODBYE_ROUNDS;
+            self.local.update.standing = Standing::Left;
+            self.local.since = self.now;
+            self.local.leave_rounds = LEAVE_ROUNDS;
             self.next_period = self.now;
             self.probe = None;
-            self.helped.clear();
-            self.changed();
+            self.indirect_pings.clear();
+            self.bump_version();
         }
     }
 
-    /// Is a member again, under an incarnation above its goodbye.
+    /// Rejoins the fleet under an incarnation above that of its leave message.
     pub(crate) fn join(&mut self) {
         if self.has_left() {
-            self.own.news.standing = Standing::Reachable;
-            self.own.since = self.now;
-            let claimed = self.own.claim.take().map_or(0, |claim| claim.incarnation);
-            self.raise(claimed);
-            self.syncs.wanted = self.syncs.wanted.max(1);
+            self.local.update.standing = Standing::Reachable;
+            self.local.since = self.now;
+            let refuted =
+                self.local.pending_refutation.take().map_or(0, |refutation| refutation.incarnation);
+            self.raise_incarnation(refuted);
+            self.sync_state.remaining = self.sync_state.remaining.max(1);
             self.next_period = self.now;
-            // It was not there to hear an answer.
+            // Answers during the absence could not be received.
             self.suspicions.values_mut().for_each(|suspicion| suspicion.start = self.now);
         }
     }
--- a/crates/peers/src/receive.rs
+++ b/crates/peers/src/receive.rs
@@ -1,118 +1,129 @@
-//! Packets in: whether a packet is taken, what its news change, and what it asks for.
+//! Incoming packets: validation, the updates they carry, and the answers.
 
 use crate::bounds;
 use crate::interface::{Action, Body, MemberId, NAME_LIMIT, Packet, Standing, UPDATES_LIMIT, Update};
-use crate::news::{Word, is_usable};
-use crate::state::{Helped, Peers};
+use crate::state::{IndirectPing, Peers};
+use crate::updates::{UpdateSource, is_usable};
 use std::net::SocketAddrV4;
 
-/// Pings on behalf of others at one time: far more than a fleet asks one member for (each member asks three others
-/// in a period at most, drawn at random), and little to hold.
-const HELPED_LIMIT: usize = 64;
+/// Concurrent pings on behalf of other members. Each member asks three random members per period at
+/// most, so this is far more than a fleet asks of one member, and it takes little memory.
+const INDIRECT_PINGS_LIMIT: usize = 64;
 
 impl Peers {
-    /// A packet came.
-    pub(crate) fn packet(&mut self, packet: &Packet, actions: &mut Vec<Action>) {
+    /// Handles a packet.
+    pub(crate) fn handle_packet(&mut self, packet: &Packet, actions: &mut Vec<Action>) {
         let from = &packet.from;
         if from.id == self.settings.me {
-            return self.packet_in_own_name(from);
+            return self.handle_packet_with_own_id(from);
         }
-        if !self.is_taken(packet) {
+        if !self.has_valid_sender(packet) {
             self.counts.bad += 1;
             return;
         }
         if self.has_left() {
             return self.answer_after_leaving(packet, actions);
         }
-        let back = self.learn(from, Word::Own);
-        self.learn_updates(packet);
-        self.answer(packet, actions);
-        if back && from.standing == Standing::Reachable {
-            // It, or this member, was away: what it knows is asked for.
-            self.ask_all(from.id, actions);
+        let came_back = self.apply_update(from, UpdateSource::Subject);
+        self.apply_updates(packet);
+        self.respond(packet, actions);
+        if came_back && from.standing == Standing::Reachable {
+            // That member or this one was away, so its table is requested.
+            self.request_sync(from.id, actions);
         }
     }
 
-    /// A second process of this name, or this member's own packet sent back to it.
-    fn packet_in_own_name(&mut self, from: &Update) {
+    /// Handles a packet from a second process of this name, or this member's own packet sent back
+    /// to it.
+    fn handle_packet_with_own_id(&mut self, from: &Update) {
         if from.boot == self.settings.boot {
             self.counts.bad += 1;
         } else {
             self.counts.namesakes += 1;
-            self.claimed(from);
+            self.handle_update_about_self(from);
         }
     }
 
-    /// Whether an honest sender may speak of itself like that.
-    fn is_taken(&self, packet: &Packet) -> bool {
+    /// Whether the sender's own state is one that a correct member sends.
+    fn has_valid_sender(&self, packet: &Packet) -> bool {
         let from = &packet.from;
-        let by_itself = match packet.body {
+        let state_valid = match packet.body {
             Body::Leave => from.standing == Standing::Left,
             _ => from.standing == Standing::Reachable,
         };
-        let reached = is_usable(from.address) && from.address != self.settings.address;
-        by_itself && reached && from.name.len() <= NAME_LIMIT
+        let address_valid = is_usable(from.address) && from.address != self.settings.address;
+        state_valid && address_valid && from.name.len() <= NAME_LIMIT
     }
 
-    /// Whoever does not know yet that this member left is told; nothing else is.
+    /// After leaving, only requests are answered, with a leave message, as their sender doesn't
+    /// know of it yet.
     fn answer_after_leaving(&mut self, packet: &Packet, actions: &mut Vec<Action>) {
         if matches!(packet.body, Body::Ping { .. } | Body::PingFor { .. } | Body::Sync) {
             self.send(packet.from.address, None, Body::Leave, actions);
         }
     }
 
-    /// Takes the news that ride on a packet, and counts what the answer to a full exchange changed here.
-    fn learn_updates(&mut self, packet: &Packet) {
-        let from_table = packet.body == Body::Known;
-        let word = if from_table { Word::Table } else { Word::Told };
+    /// Processes the updates on a packet, and counts what a sync response changed.
+    fn apply_updates(&mut self, packet: &Packet) {
+        let is_sync_response = packet.body == Body::Known;
+        let source = if is_sync_response { UpdateSource::Sync } else { UpdateSource::Gossip };
         let before = self.version.0;
-        packet.updates.iter().take(UPDATES_LIMIT).for_each(|news| {
-            self.learn(news, word);
+        packet.updates.iter().take(UPDATES_LIMIT).for_each(|update| {
+            self.apply_update(update, source);
         });
-        if from_table && self.syncs.from == Some(packet.from.id) {
-            self.syncs.taught = Some(self.syncs.taught.unwrap_or(0) + (self.version.0 - before));
+        if is_sync_response && self.sync_state.source == Some(packet.from.id) {
+            self.sync_state.changes =
+                Some(self.sync_state.changes.unwrap_or(0) + (self.version.0 - before));
         }
         self.counts.bad += packet.updates.len().saturating_sub(UPDATES_LIMIT) as u64;
     }
 
-    /// Does what a packet asks for.
-    fn answer(&mut self, packet: &Packet, actions: &mut Vec<Action>) {
+    /// Responds to the body of a packet.
+    fn respond(&mut self, packet: &Packet, actions: &mut Vec<Action>) {
         let from = &packet.from;
         match packet.body {
-            Body::Ping { number } => self.send(from.address, Some(from), Body::Ack { number }, actions),
-            Body::PingFor { number, whom, address } => self.help(from, number, whom, address, actions),
-            Body::Ack { number } => self.acked(from.id, number, actions),
-            Body::Nack { number } => self.nacked(from.id, number),
-            Body::Sync => self.tell_all(from, actions),
+            Body::Ping { nonce } => self.send(from.address, Some(from), Body::Ack { nonce }, actions),
+            Body::PingFor { nonce, target, address } => {
+                self.ping_for_requester(from, nonce, target, address, actions)
+            }
+            Body::Ack { nonce } => self.handle_ack(from.id, nonce, actions),
+            Body::Nack { nonce } => self.handle_nack(from.id, nonce),
+            Body::Sync => self.answer_sync_request(from, actions),
             Body::Known | Body::Leave => {}
         }
     }
 
-    /// Pings a third member for one that asks.
-    fn help(
+    /// Pings a third member on behalf of another one.
+    fn ping_for_requester(
         &mut self,
-        asker: &Update,
-        number: u32,
-        whom: MemberId,
+        requester: &Update,
+        nonce: u32,
+        target: MemberId,
         address: SocketAddrV4,
         actions: &mut Vec<Action>,
     ) {
-        if whom == self.settings.me {
-            return self.send(asker.address, Some(asker), Body::Ack { number }, actions);
+        if target == self.settings.me {
+            return self.send(requester.address, Some(requester), Body::Ack { nonce }, actions);
         }
         if !is_usable(address) || address == self.settings.address {
             self.counts.bad += 1;
             return;
         }
-        if self.helped.len() >= HELPED_LIMIT {
+        if self.indirect_pings.len() >= INDIRECT_PINGS_LIMIT {
             self.counts.withheld += 1;
             return;
         }
-        let ours = self.chance.number();
-        let until = self.now + self.settings.period / bounds::PARTS;
-        self.helped.push(Helped { number: ours, whom, asker: asker.clone(), asked: number, until });
+        let own_nonce = self.random.nonce();
+        let deadline = self.now + self.settings.period / bounds::PROBE_PHASES;
+        self.indirect_pings.push(IndirectPing {
+            nonce: own_nonce,
+            target,
+            requester: requester.clone(),
+            requester_nonce: nonce,
+            deadline,
+        });
         self.counts.helped += 1;
-        let first = self.table.get(whom).filter(|held| held.standing != Standing::Reachable).cloned();
-        self.send_with(address, Some(whom), first, Body::Ping { number: ours }, actions);
+        let first = self.table.get(target).filter(|held| held.standing != Standing::Reachable).cloned();
+        self.send_with(address, Some(target), first, Body::Ping { nonce: own_nonce }, actions);
     }
 }
--- a/crates/peers/src/state.rs
+++ b/crates/peers/src/state.rs
@@ -1,162 +1,167 @@
-//! The state of one member and what is read off it; every other step of the machine builds on this.
+//! The state of one member and values derived from it; the other modules of the state machine build
+//! on this one.
 
 use crate::bounds;
-use crate::chance::Chance;
 use crate::gossip::Gossip;
 use crate::interface::{Counts, MemberId, Settings, Standing, Update};
+use crate::random::Random;
 use crate::table::Table;
 use cottonpoint_decide::Time;
 use std::collections::BTreeMap;
 
-/// One member of a fleet, seeing the others. See the crate's page.
+/// One member of a fleet and its view of the others. See the crate documentation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Peers {
     pub(crate) settings: Settings,
-    pub(crate) own: Own,
+    pub(crate) local: LocalMember,
     pub(crate) table: Table,
     pub(crate) suspicions: BTreeMap<MemberId, Suspicion>,
     pub(crate) gossip: Gossip,
-    pub(crate) chance: Chance,
-    /// The latest time told.
+    pub(crate) random: Random,
+    /// The time of the latest event.
     pub(crate) now: Time,
-    /// The wake asked for; none before the start.
-    pub(crate) asked: Option<Time>,
+    /// The wake requested from the embedder; `None` before the start.
+    pub(crate) requested_wake: Option<Time>,
     pub(crate) next_period: Time,
-    /// When the next knock at suspects is due, if there are any to be knocked at.
-    pub(crate) next_knock: Time,
+    /// When the next ping to suspects is permitted.
+    pub(crate) next_suspect_ping: Time,
     pub(crate) probe: Option<Probe>,
-    /// The last probes that nobody answered in time, oldest first: an answer that comes yet shows that it was not the
-    /// network.
-    pub(crate) unanswered: Vec<Probe>,
-    /// Whom to probe next, from the end.
-    pub(crate) round: Vec<MemberId>,
-    /// Pings sent on behalf of others.
-    pub(crate) helped: Vec<Helped>,
-    pub(crate) unwell: u32,
-    pub(crate) syncs: Syncs,
-    /// Whether anybody else was ever met.
-    pub(crate) met: bool,
+    /// The latest probes that failed, oldest first. An answer that still arrives shows that it was
+    /// this member's timeouts and not the network.
+    pub(crate) failed_probes: Vec<Probe>,
+    /// Members still to be probed in this round, last one first.
+    pub(crate) probe_order: Vec<MemberId>,
+    /// Pings in progress on behalf of other members.
+    pub(crate) indirect_pings: Vec<IndirectPing>,
+    pub(crate) local_health: u32,
+    pub(crate) sync_state: SyncState,
+    /// Whether any other member was ever met.
+    pub(crate) has_met_peer: bool,
     pub(crate) version: Version,
     pub(crate) counts: Counts,
 }
 
-/// This member, by its own word.
+/// This member's own state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Own {
-    pub(crate) news: Update,
+pub(crate) struct LocalMember {
+    pub(crate) update: Update,
     pub(crate) since: Time,
-    /// The incarnation under which others say of it what it contradicts.
-    pub(crate) claim: Option<Claim>,
-    /// Before that it does not speak up again: two processes of one name must not shout each other down.
-    pub(crate) next_raise: Time,
-    /// Rounds of goodbyes yet to be sent.
-    pub(crate) goodbyes: u32,
+    /// A report about this member that it has not refuted yet.
+    pub(crate) pending_refutation: Option<PendingRefutation>,
+    /// The earliest time of the next refutation. The rate is limited so that two processes of one
+    /// name don't refute each other without end.
+    pub(crate) next_refutation: Time,
+    /// Rounds of leave messages still to be sent.
+    pub(crate) leave_rounds: u32,
 }
 
-/// What is said of this member.
+/// A report by others that this member has to refute.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Claim {
+pub(crate) struct PendingRefutation {
     pub(crate) incarnation: u64,
-    /// Said of another process by this member's name.
-    pub(crate) other: bool,
+    /// Whether the report is about another process of the same name.
+    pub(crate) name_conflict: bool,
 }
 
-/// Full exchanges of all that is known.
+/// The progress of full state syncs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Syncs {
-    /// Still to be had.
-    pub(crate) wanted: u32,
-    /// Who was asked last.
-    pub(crate) from: Option<MemberId>,
-    /// How much it changed here, once it has answered.
-    pub(crate) taught: Option<u64>,
-    /// Asked for in this period.
-    pub(crate) asked: bool,
-    /// Given in this period.
-    pub(crate) given: u32,
+pub(crate) struct SyncState {
+    /// Syncs still to be done.
+    pub(crate) remaining: u32,
+    /// The member that was asked last.
+    pub(crate) source: Option<MemberId>,
+    /// Changes made by the answer, once there is one.
+    pub(crate) changes: Option<u64>,
+    /// Whether a sync was requested in this period.
+    pub(crate) requested: bool,
+    /// Sync requests answered in this period.
+    pub(crate) answered: u32,
 }
 
-/// A suspicion that runs.
+/// A suspicion that has not timed out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Suspicion {
     pub(crate) start: Time,
-    /// Members that came to it by themselves, the first one included.
-    pub(crate) by: Vec<MemberId>,
-    /// It was pinged in the suspicion's last period.
-    pub(crate) knocked: bool,
-    /// Confirmations that count, and members that answered, at its start.
-    pub(crate) wanted: usize,
+    /// Members that suspect it independently, the first one included.
+    pub(crate) suspected_by: Vec<MemberId>,
+    /// Whether the final ping, in the last period before the timeout, was sent.
+    pub(crate) final_ping_sent: bool,
+    /// Confirmations that shorten the timeout, and the number of members that answered, when the
+    /// suspicion started.
+    pub(crate) expected_confirmations: usize,
     pub(crate) members: usize,
 }
 
-/// The view's version: no part of what the machine decides by.
+/// The view's version, which influences no decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Version(pub(crate) u64);
 
-/// Two states that differ in their version alone are one to a model checker.
+/// For a model checker, states that differ only in their version are equal.
 impl std::hash::Hash for Version {
     fn hash<H: std::hash::Hasher>(&self, _: &mut H) {}
 }
 
-/// The member probed in this period.
+/// The probe of this period.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Probe {
-    pub(crate) whom: MemberId,
-    pub(crate) number: u32,
-    /// When others are asked; none once they were.
-    pub(crate) direct_until: Option<Time>,
-    /// Those asked that have not answered in any way.
-    pub(crate) silent: Vec<MemberId>,
-    /// All that were asked.
+    pub(crate) target: MemberId,
+    pub(crate) nonce: u32,
+    /// When helpers are asked; `None` once they were.
+    pub(crate) direct_deadline: Option<Time>,
+    /// Helpers that have sent neither ack nor nack.
+    pub(crate) silent_helpers: Vec<MemberId>,
+    /// All helpers that were asked.
     pub(crate) helpers: Vec<MemberId>,
-    /// Whether the one probed may yet answer itself.
-    pub(crate) awaited: bool,
+    /// Whether an answer from the target itself would still count.
+    pub(crate) target_may_answer: bool,
 }
 
 /// A ping on behalf of another member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Helped {
-    pub(crate) number: u32,
-    pub(crate) whom: MemberId,
-    pub(crate) asker: Update,
-    /// The number that the asker knows it by.
-    pub(crate) asked: u32,
-    pub(crate) until: Time,
+pub(crate) struct IndirectPing {
+    pub(crate) nonce: u32,
+    pub(crate) target: MemberId,
+    pub(crate) requester: Update,
+    /// The nonce of the requester's own request.
+    pub(crate) requester_nonce: u32,
+    pub(crate) deadline: Time,
 }
 
 impl Peers {
-    pub(crate) fn changed(&mut self) {
+    pub(crate) fn bump_version(&mut self) {
         self.version.0 += 1;
     }
 
-    /// When a suspicion runs out, as things stand. Confirmations are waited for only as far as there are members left
-    /// that could give one: those that are suspected themselves cannot, so that a small part of a split need not wait
-    /// for the other side's word.
-    pub(crate) fn ends(&self, suspicion: &Suspicion) -> Time {
-        let counts = |id: &MemberId| {
+    /// When a suspicion times out under current conditions. It waits only for as many confirmations
+    /// as there are members left to give one. Members that are suspected themselves can't, so the
+    /// minority side of a partition need not wait for confirmations from the other side.
+    pub(crate) fn suspicion_deadline(&self, suspicion: &Suspicion) -> Time {
+        let can_confirm = |id: &MemberId| {
             *id == self.settings.me || self.table.standing(*id) == Some(Standing::Reachable)
         };
-        let spoken = suspicion.by.iter().filter(|id| counts(id)).count();
+        let confirmed = suspicion.suspected_by.iter().filter(|id| can_confirm(id)).count();
         let reachable = self.table.alive().saturating_sub(self.suspicions.len());
-        let got = suspicion.by.len().saturating_sub(1);
-        let wanted = suspicion.wanted.min(got + (reachable + 1).saturating_sub(spoken));
-        suspicion.start + bounds::suspicion(suspicion.members, self.settings.period, got, wanted)
+        let confirmations = suspicion.suspected_by.len().saturating_sub(1);
+        let expected =
+            suspicion.expected_confirmations.min(confirmations + (reachable + 1).saturating_sub(confirmed));
+        suspicion.start
+            + bounds::suspicion(suspicion.members, self.settings.period, confirmations, expected)
     }
 
     /// Members that answer, this one included.
-    pub(crate) fn size(&self) -> usize {
+    pub(crate) fn alive_count(&self) -> usize {
         self.table.alive() + 1
     }
 
     pub(crate) fn has_left(&self) -> bool {
-        self.own.news.standing == Standing::Left
+        self.local.update.standing == Standing::Left
     }
 
-    pub(crate) fn set_unwell(&mut self, unwell: u32) {
-        let unwell = unwell.min(bounds::UNWELL_LIMIT);
-        if unwell != self.unwell {
-            self.unwell = unwell;
-            self.changed();
+    pub(crate) fn set_local_health(&mut self, score: u32) {
+        let score = score.min(bounds::LOCAL_HEALTH_LIMIT);
+        if score != self.local_health {
+            self.local_health = score;
+            self.bump_version();
         }
     }
 }
--- a/crates/peers/src/table.rs
+++ b/crates/peers/src/table.rs
@@ -1,8 +1,8 @@
-//! The members held, and which of two pieces of news of one member wins.
+//! The member table, and which of two updates about one member takes precedence.
 //!
-//! News of one member is wholly ordered: by incarnation, then standing, then what else tells two pieces apart. The
-//! greater one is kept, so that order, repetition and lateness of packets make no difference to what is held in the
-//! end.
+//! Updates about one member are totally ordered: by incarnation, then state, then the remaining
+//! fields as tie-breakers. The greater one is kept, so reordered, duplicated and delayed packets
+//! lead to the same table in the end.
 
 use crate::interface::{MEMBERS_LIMIT, Member, MemberId, Standing, Update};
 use cottonpoint_decide::Time;
@@ -10,36 +10,36 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// For how long a member that does not answer is remembered and knocked at: an hour outlasts what operators call
-/// an outage; a longer split heals through seeds.
-pub(crate) const LAST_KNOWN_KEPT: Duration = Duration::from_secs(3600);
-/// For how long a goodbye is remembered: far longer than any news travels.
-pub(crate) const LEFT_KEPT: Duration = Duration::from_secs(300);
+/// Retention of a dead member, during which it is pinged now and then. An hour exceeds what
+/// operators call an outage; a longer partition heals through the seeds.
+pub(crate) const DEAD_RETENTION: Duration = Duration::from_secs(3600);
+/// Retention of a member that left: far longer than any update travels.
+pub(crate) const LEFT_RETENTION: Duration = Duration::from_secs(300);
 
 impl Standing {
-    /// Whether it answers as far as is known yet: a suspect's time has not run out.
+    /// Whether the member counts as answering: a suspect does until its timeout expires.
     pub fn is_alive(self) -> bool {
         matches!(self, Standing::Reachable | Standing::Suspected)
     }
 
-    /// For how long a member of that standing is held; none: as long as it stands so.
-    pub(crate) fn kept(self) -> Option<Duration> {
+    /// How long a member in this state is retained; `None` means without limit.
+    pub(crate) fn retention(self) -> Option<Duration> {
         match self {
             Standing::Reachable | Standing::Suspected => None,
-            Standing::LastKnown => Some(LAST_KNOWN_KEPT),
-            Standing::Left => Some(LEFT_KEPT),
+            Standing::LastKnown => Some(DEAD_RETENTION),
+            Standing::Left => Some(LEFT_RETENTION),
         }
     }
 }
 
 impl Update {
-    /// Of two pieces of news of one member the one of higher rank wins.
-    pub(crate) fn rank(&self) -> (u64, Standing, u64, SocketAddrV4, &str) {
+    /// The sort key by which one of two updates about the same member takes precedence.
+    pub(crate) fn precedence(&self) -> (u64, Standing, u64, SocketAddrV4, &str) {
         (self.incarnation, self.standing, self.boot, self.address, &self.name)
     }
 }
 
-/// All members but oneself.
+/// All members but this one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Table {
     members: BTreeMap<MemberId, (Update, Time)>,
@@ -48,79 +48,90 @@
 
 impl Table {
     pub(crate) fn get(&self, id: MemberId) -> Option<&Update> {
-        self.members.get(&id).map(|(news, _)| news)
+        self.members.get(&id).map(|(update, _)| update)
     }
 
     pub(crate) fn standing(&self, id: MemberId) -> Option<Standing> {
-        self.get(id).map(|news| news.standing)
+        self.get(id).map(|update| update.standing)
     }
 
-    /// Members that answer as far as is known, without oneself.
+    /// Members that count as answering, without this one.
     pub(crate) fn alive(&self) -> usize {
         self.alive
     }
 
-    /// Those of some addresses at which a member answers as far as is known.
+    /// Those of the given addresses at which a member counts as answering.
     pub(crate) fn alive_at(&self, addresses: &[SocketAddrV4]) -> Vec<SocketAddrV4> {
-        let alive = self.members.values().filter(|(news, _)| news.standing.is_alive());
-        alive.map(|(news, _)| news.address).filter(|address| addresses.contains(address)).collect()
+        let alive = self.members.values().filter(|(update, _)| update.standing.is_alive());
+        alive.map(|(update, _)| update.address).filter(|address| addresses.contains(address)).collect()
     }
 
-    /// Says who last gave news of a member, without changing that news.
-    pub(crate) fn said_by(&mut self, id: MemberId, by: MemberId) {
-        if let Some((news, _)) = self.members.get_mut(&id) {
-            news.by = by;
+    /// Sets who reported the update held of a member and leaves the rest of it unchanged.
+    pub(crate) fn set_reporter(&mut self, id: MemberId, by: MemberId) {
+        if let Some((update, _)) = self.members.get_mut(&id) {
+            update.by = by;
         }
     }
 
-    /// Holds that news from now on; the caller has seen that it wins.
-    pub(crate) fn put(&mut self, news: Update, now: Time) {
-        let id = news.id;
-        let before = self.members.get(&id).map(|(held, since)| (held.standing, *since));
+    /// Stores an update; the caller has checked that it takes precedence.
+    pub(crate) fn insert(&mut self, update: Update, now: Time) {
+        let id = update.id;
+        let previous = self.members.get(&id).map(|(held, since)| (held.standing, *since));
         let since =
-            before.filter(|(standing, _)| *standing == news.standing).map_or(now, |(_, since)| since);
-        self.alive -= usize::from(before.is_some_and(|(standing, _)| standing.is_alive()));
-        self.alive += usize::from(news.standing.is_alive());
-        self.members.insert(id, (news, since));
+            previous.filter(|(standing, _)| *standing == update.standing).map_or(now, |(_, since)| since);
+        self.alive -= usize::from(previous.is_some_and(|(standing, _)| standing.is_alive()));
+        self.alive += usize::from(update.standing.is_alive());
+        self.members.insert(id, (update, since));
     }
 
     pub(crate) fn remove(&mut self, id: MemberId) {
-        let gone = self.members.remove(&id);
-        self.alive -= usize::from(gone.is_some_and(|(news, _)| news.standing.is_alive()));
+        let removed = self.members.remove(&id);
+        self.alive -= usize::from(removed.is_some_and(|(update, _)| update.standing.is_alive()));
     }
 
-    /// Whether one more fits beside oneself.
+    /// Whether one more member fits, beside this one.
     pub(crate) fn has_room(&self) -> bool {
         self.members.len() + 1 < MEMBERS_LIMIT
     }
 
-    /// The one that is gone for longest; none if all answer.
-    pub(crate) fn longest_gone(&self) -> Option<MemberId> {
-        let gone = self.members.iter().filter(|(_, (news, _))| !news.standing.is_alive());
-        gone.min_by_key(|(id, (_, since))| (*since, **id)).map(|(id, _)| *id)
+    /// The member that has been dead or left for longest; `None` if all are alive.
+    pub(crate) fn longest_not_alive(&self) -> Option<MemberId> {
+        let not_alive = self.members.iter().filter(|(_, (update, _))| !update.standing.is_alive());
+        not_alive.min_by_key(|(id, (_, since))| (*since, **id)).map(|(id, _)| *id)
     }
 
-    /// Those that were held for as long as their standing allows.
-    pub(crate) fn outdated(&self, now: Time) -> Vec<MemberId> {
-        let old = |news: &Update, since| news.standing.kept().is_some_and(|kept| now.since(since) >= kept);
-        self.members.iter().filter(|(_, (news, since))| old(news, *since)).map(|(id, _)| *id).collect()
+    /// Members whose retention time is over.
+    pub(crate) fn past_retention(&self, now: Time) -> Vec<MemberId> {
+        let past_limit = |update: &Update, since| {
+            update.standing.retention().is_some_and(|retention| now.since(since) >= retention)
+        };
+        self.members
+            .iter()
+            .filter(|(_, (update, since))| past_limit(update, *since))
+            .map(|(id, _)| *id)
+            .collect()
     }
 
-    /// Ids of all of a standing.
-    pub(crate) fn of(&self, wanted: impl Fn(Standing) -> bool) -> Vec<MemberId> {
-        self.members.iter().filter(|(_, (news, _))| wanted(news.standing)).map(|(id, _)| *id).collect()
+    /// The ids of all members in the given states.
+    pub(crate) fn ids_in_state(&self, matches: impl Fn(Standing) -> bool) -> Vec<MemberId> {
+        self.members.iter().filter(|(_, (update, _))| matches(update.standing)).map(|(id, _)| *id).collect()
     }
 
-    /// All that is worth telling a member that asks for it. Those gone are left out in the second half of their
-    /// time: else two members could keep one remembered between them for ever.
-    pub(crate) fn worth_telling(&self, now: Time) -> impl Iterator<Item = &Update> {
-        let young =
-            move |news: &Update, since| news.standing.kept().is_none_or(|kept| now.since(since) < kept / 2);
-        self.members.values().filter(move |(news, since)| young(news, *since)).map(|(news, _)| news)
+    /// The updates sent in answer to a sync request. Dead and left members are omitted in the
+    /// second half of their retention time; otherwise two members could keep an entry alive between
+    /// them forever.
+    pub(crate) fn sync_entries(&self, now: Time) -> impl Iterator<Item = &Update> {
+        let in_first_half = move |update: &Update, since| {
+            update.standing.retention().is_none_or(|retention| now.since(since) < retention / 2)
+        };
+        self.members
+            .values()
+            .filter(move |(update, since)| in_first_half(update, *since))
+            .map(|(update, _)| update)
     }
 
-    /// All members, by id.
+    /// All members, sorted by id.
     pub(crate) fn members(&self) -> impl Iterator<Item = Member> {
-        self.members.values().map(|(news, since)| Member { news: news.clone(), since: *since })
+        self.members.values().map(|(update, since)| Member { news: update.clone(), since: *since })
     }
 }
--- a/crates/peers/tests/common/mod.rs
+++ b/crates/peers/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Members over a network in memory, in virtual time: links that lose, delay, repeat and cut.
+//! Members on an in-memory network in virtual time, whose links lose, delay and cut packets.
 
 #![allow(dead_code)]
 
@@ -10,7 +10,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// The period of all members here.
+/// The protocol period of all members.
 pub const T: Duration = Duration::from_secs(1);
 
 pub fn address(at: usize) -> SocketAddrV4 {
@@ -21,7 +21,7 @@
     MemberId(at as u64)
 }
 
-/// Settings of the member at a place; the first two are seeds.
+/// The settings of the member with this index; the first two members are seeds.
 pub fn settings(at: usize) -> Settings {
     Settings {
         me: id(at),
@@ -35,8 +35,8 @@
     }
 }
 
-/// What a member says of itself at its start.
-pub fn news(at: usize) -> Update {
+/// A member's update about itself at its start.
+pub fn initial_update(at: usize) -> Update {
     let Settings { me, name, address, incarnation, boot, .. } = settings(at);
     Update { id: me, name, address, incarnation, boot, standing: Standing::Reachable, by: me }
 }
@@ -46,14 +46,14 @@
     pub members: Vec<Option<Peers>>,
     pub wakes: Vec<Option<Time>>,
     /// Links that carry nothing, as (from, to).
-    pub cut: BTreeSet<(usize, usize)>,
-    /// Of a hundred packets, those lost.
+    pub cut_links: BTreeSet<(usize, usize)>,
+    /// The percentage of packets lost.
     pub loss: u32,
-    /// All that was ever sent, with where to.
+    /// All packets ever sent, with their destination.
     pub sent: Vec<(usize, Packet)>,
-    pub most_actions: usize,
-    stopped: BTreeMap<usize, Vec<Packet>>,
-    flying: BTreeMap<(Time, u64), (usize, Packet)>,
+    pub max_actions: usize,
+    suspended: BTreeMap<usize, Vec<Packet>>,
+    in_flight: BTreeMap<(Time, u64), (usize, Packet)>,
     count: u64,
     random: Xoshiro256PlusPlus,
 }
@@ -64,12 +64,12 @@
             now: Time(0),
             members: (0..members).map(|_| None).collect(),
             wakes: vec![None; members],
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             loss: 0,
             sent: Vec::new(),
-            most_actions: 0,
-            stopped: BTreeMap::new(),
-            flying: BTreeMap::new(),
+            max_actions: 0,
+            suspended: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             count: 0,
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
         };
@@ -79,7 +79,7 @@
         net
     }
 
-    /// All started and known to one another.
+    /// A network whose members have started and know one another.
     pub fn settled(members: usize, seed: u64) -> Net {
         let mut net = Net::new(members, seed);
         net.run(T * (10 + members as u32));
@@ -96,28 +96,30 @@
         (self.members[at], self.wakes[at]) = (None, None);
     }
 
-    pub fn tell(&mut self, at: usize, event: Event<'_>) {
+    pub fn deliver(&mut self, at: usize, event: Event<'_>) {
         let Some(peers) = self.members[at].as_mut() else { return };
         let mut actions = Vec::new();
         peers.handle(self.now, event, &mut actions);
-        self.most_actions = self.most_actions.max(actions.len());
+        self.max_actions = self.max_actions.max(actions.len());
         for action in actions {
             match action {
-                Action::WakeAt(then) => self.wakes[at] = Some(then),
+                Action::WakeAt(due) => self.wakes[at] = Some(due),
                 Action::Send { to, packet } => {
                     let to = usize::from(to.port()) - 7000;
                     self.sent.push((to, packet.clone()));
-                    if !self.cut.contains(&(at, to)) && self.random.random_range(0..100) >= self.loss {
+                    if !self.cut_links.contains(&(at, to)) && self.random.random_range(0..100) >= self.loss
+                    {
                         let delay = Duration::from_millis(self.random.random_range(1..20));
                         self.count += 1;
-                        self.flying.insert((self.now + delay, self.count), (to, packet));
+                        self.in_flight.insert((self.now + delay, self.count), (to, packet));
                     }
                 }
             }
         }
     }
 
-    /// Plays on until that holds, looking four times a period, for that long at most; says whether it came to hold.
+    /// Runs until the condition holds, checking it four times a period, for at most `time`. Returns
+    /// whether it holds.
     pub fn run_until(&mut self, time: Duration, done: impl Fn(&Net) -> bool) -> bool {
         let end = self.now + time;
         while !done(self) && self.now < end {
@@ -126,31 +128,31 @@
         done(self)
     }
 
-    /// Plays on for that long.
+    /// Runs for that long.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         loop {
-            let packet = self.flying.first_key_value().map(|((then, _), _)| *then);
+            let packet = self.in_flight.first_key_value().map(|((due, _), _)| *due);
             let wake = (0..self.wakes.len())
-                .filter(|at| !self.stopped.contains_key(at))
-                .filter_map(|at| self.wakes[at].map(|then| (then, at)))
+                .filter(|at| !self.suspended.contains_key(at))
+                .filter_map(|at| self.wakes[at].map(|due| (due, at)))
                 .min();
-            let next = [packet, wake.map(|(then, _)| then)].into_iter().flatten().min();
+            let next = [packet, wake.map(|(due, _)| due)].into_iter().flatten().min();
             let Some(next) = next.filter(|next| *next <= end) else {
                 self.now = end;
                 return;
             };
             self.now = self.now.max(next);
             match wake {
-                Some((then, at)) if packet.is_none_or(|packet| then < packet) => {
+                Some((due, at)) if packet.is_none_or(|packet| due < packet) => {
                     self.wakes[at] = None;
-                    self.tell(at, Event::Wake);
+                    self.deliver(at, Event::Wake);
                 }
                 _ => {
-                    let (_, (to, packet)) = self.flying.pop_first().unwrap();
-                    match self.stopped.get_mut(&to) {
+                    let (_, (to, packet)) = self.in_flight.pop_first().unwrap();
+                    match self.suspended.get_mut(&to) {
                         Some(waiting) => waiting.push(packet),
-                        None if to < self.members.len() => self.tell(to, Event::Packet(&packet)),
+                        None if to < self.members.len() => self.deliver(to, Event::Packet(&packet)),
                         None => {}
                     }
                 }
@@ -158,19 +160,19 @@
         }
     }
 
-    /// Stops a process: packets wait for it, its wakes come late.
-    pub fn stop(&mut self, at: usize) {
-        self.stopped.insert(at, Vec::new());
+    /// Suspends a process: its packets queue up and its wakes come late.
+    pub fn suspend(&mut self, at: usize) {
+        self.suspended.insert(at, Vec::new());
     }
 
-    /// Lets it go on: what waited comes at once, the wake last.
-    pub fn go_on(&mut self, at: usize) {
-        for packet in self.stopped.remove(&at).unwrap_or_default() {
-            self.tell(at, Event::Packet(&packet));
+    /// Resumes a process: the queued packets arrive at once, the wake last.
+    pub fn resume(&mut self, at: usize) {
+        for packet in self.suspended.remove(&at).unwrap_or_default() {
+            self.deliver(at, Event::Packet(&packet));
         }
     }
 
-    /// How one member holds another.
+    /// The state in which one member holds another.
     pub fn standing(&self, at: usize, of: usize) -> Option<Standing> {
         let view = self.members[at].as_ref()?.view();
         view.members.iter().find(|member| member.news.id == id(of)).map(|member| member.news.standing)
@@ -180,7 +182,7 @@
         self.members[at].as_ref().unwrap()
     }
 
-    /// Whether each live member holds each other live one so.
+    /// Whether every live member holds every other live member in a state that satisfies `good`.
     pub fn all_hold(&self, good: impl Fn(usize, usize, Standing) -> bool) -> bool {
         let live: Vec<_> = (0..self.members.len()).filter(|at| self.members[*at].is_some()).collect();
         live.iter().all(|at| {
--- a/crates/peers/tests/network.rs
+++ b/crates/peers/tests/network.rs
@@ -1,4 +1,4 @@
-//! The rules of the plane, played by several members over a network in memory.
+//! The protocol with several members on an in-memory network.
 
 mod common;
 
@@ -8,9 +8,10 @@
 const REACHABLE: Option<Standing> = Some(Standing::Reachable);
 const LAST_KNOWN: Option<Standing> = Some(Standing::LastKnown);
 
-/// Guards against: members that do not find one another through seeds, or a crash that some never hear of.
+/// Guards against members that don't find one another through seeds, and a crash that some members
+/// never learn of.
 #[test]
-fn a_crash_is_known_to_all_in_time() {
+fn crash_is_known_to_all_members_in_time() {
     for members in [2, 3, 10, 40] {
         let mut net = Net::settled(members, members as u64);
         net.crash(members - 1);
@@ -20,9 +21,9 @@
     }
 }
 
-/// Guards against: live members held dead at one lost packet in ten.
+/// Guards against live members considered dead when one packet in ten is lost.
 #[test]
-fn no_live_member_is_held_dead_at_ten_percent_loss() {
+fn live_members_are_not_considered_dead_at_ten_percent_loss() {
     for seed in 0..10 {
         let mut net = Net::settled(10, seed);
         net.loss = 10;
@@ -31,17 +32,19 @@
     }
 }
 
-/// Guards against: a fleet that starts as one and finds itself slowly, since news rides on too few packets.
+/// Guards against slow discovery when all members start at once, because too few packets carry
+/// updates.
 #[test]
-fn a_fleet_that_starts_as_one_is_whole_in_ten_periods() {
+fn members_that_start_together_all_meet_in_ten_periods() {
     let mut net = Net::new(100, 3);
     assert!(net.run_until(T * 10, |net| net.all_hold(|_, _, standing| standing == Standing::Reachable)));
     assert!((0..100).all(|at| net.peers(at).view().part == Part::Whole));
 }
 
-/// Guards against: islands at the start, each around a seed of its own, that stay apart for long.
+/// Guards against members that start in separate groups, each around a seed of its own, and stay
+/// apart for long.
 #[test]
-fn no_islands_stay_apart_after_a_start() {
+fn members_that_start_in_turn_all_meet() {
     for seed in 0..100 {
         let mut net = Net::new(10, seed);
         (0..10).for_each(|at| net.crash(at));
@@ -55,14 +58,14 @@
     }
 }
 
-/// Guards against: a split that does not heal by itself, or only at some members.
+/// Guards against a partition that doesn't heal by itself, or at some members only.
 #[test]
-fn a_split_heals_at_all_members() {
+fn partition_heals_at_all_members() {
     for members in [2, 3, 10, 40, 150] {
         let mut net = Net::settled(members, members as u64);
         let half = members / 2;
         let across = |a: usize, b: usize| (a < half) != (b < half);
-        net.cut = (0..members)
+        net.cut_links = (0..members)
             .flat_map(|a| (0..members).map(move |b| (a, b)))
             .filter(|(a, b)| across(*a, *b))
             .collect();
@@ -72,62 +75,66 @@
             })
         };
         assert!(net.run_until(bounds::known_to_all(members, T) * 2, split), "{members}");
-        net.cut.clear();
+        net.cut_links.clear();
         let healed = |net: &Net| net.all_hold(|_, _, standing| standing == Standing::Reachable);
         assert!(net.run_until(T * 3 + bounds::dissemination(members, T), healed), "{members}");
     }
 }
 
-/// Guards against: a smaller part in which some go on for long as if they were the whole fleet, because most probes
-/// fail there and too few are left to confirm a suspicion.
+/// Guards against members of a minority that consider the fleet complete for long, because most
+/// probes fail there and too few members are left to confirm a suspicion.
 #[test]
-fn all_of_a_smaller_part_name_it_in_time() {
-    for (members, small, seed) in
+fn all_members_of_a_minority_detect_it_in_time() {
+    for (members, minority, seed) in
         [(10, 1), (10, 3), (50, 16)].map(|(n, k)| (0..10).map(move |s| (n, k, s))).into_iter().flatten()
     {
         let mut net = Net::settled(members, seed);
-        net.cut = (0..members)
+        net.cut_links = (0..members)
             .flat_map(|a| (0..members).map(move |b| (a, b)))
-            .filter(|(a, b)| (*a < small) != (*b < small))
+            .filter(|(a, b)| (*a < minority) != (*b < minority))
             .collect();
-        let named = |net: &Net| (0..small).all(|at| net.peers(at).view().part == Part::Smaller);
-        // Half of what is owed: it hangs on no confirmation from the other side.
-        assert!(net.run_until(bounds::known_to_all(members, T) / 2, named), "{small} of {members}, {seed}");
+        let detected = |net: &Net| (0..minority).all(|at| net.peers(at).view().part == Part::Smaller);
+        // Half of the guaranteed time: the detection depends on no confirmation from the other
+        // side.
+        assert!(
+            net.run_until(bounds::known_to_all(members, T) / 2, detected),
+            "{minority} of {members}, {seed}"
+        );
     }
 }
 
-/// Guards against: a goodbye taken for a crash, and a member that cannot come back after one.
+/// Guards against a leave that is handled as a crash, and a member that cannot rejoin after it.
 #[test]
-fn a_goodbye_is_no_crash_and_can_be_taken_back() {
+fn leaving_member_is_not_suspected_and_can_rejoin() {
     let mut net = Net::settled(10, 1);
-    net.tell(9, Event::Leave);
+    net.deliver(9, Event::Leave);
     let left = |net: &Net| (0..9).all(|at| net.standing(at, 9) == Some(Standing::Left));
     assert!(net.run_until(bounds::dissemination(10, T), left));
     let suspicions: u64 = (0..9).map(|at| net.peers(at).counts().suspicions).sum();
     assert_eq!(suspicions, 0);
-    net.tell(9, Event::Join);
+    net.deliver(9, Event::Join);
     let back = |net: &Net| (0..9).all(|at| net.standing(at, 9) == REACHABLE);
     assert!(net.run_until(bounds::dissemination(10, T), back));
 }
 
-/// Guards against: a cut of one direction of one link that fells a member which all others reach.
+/// Guards against a one-way cut of one link that makes a member dead which all others reach.
 #[test]
-fn a_one_way_cut_fells_nobody() {
+fn one_way_cut_of_a_link_makes_no_member_dead() {
     for members in [3, 4, 10] {
         let mut net = Net::settled(members, 5);
-        net.cut.insert((0, 1));
+        net.cut_links.insert((0, 1));
         let dead = |net: &Net| !net.all_hold(|_, _, standing| standing.is_alive());
         assert!(!net.run_until(T * 200, dead), "{members}");
     }
 }
 
-/// Guards against: a new process under its old name that is held for its old life, or dead.
+/// Guards against a restarted process that is mistaken for its predecessor or considered dead.
 #[test]
-fn a_restart_at_the_same_address_is_known_to_all() {
-    for gone in [0, 1, 40] {
+fn restart_at_the_same_address_is_known_to_all() {
+    for periods_down in [0, 1, 40] {
         let mut net = Net::settled(5, 1);
         net.crash(4);
-        net.run(T * gone);
+        net.run(T * periods_down);
         net.start(4, Settings { boot: 9, ..settings(4) });
         let new = |net: &Net| {
             let boot = |at| {
@@ -139,30 +146,35 @@
             };
             (0..4).all(boot) && net.all_hold(|_, _, standing| standing == Standing::Reachable)
         };
-        assert!(net.run_until(bounds::refutation_round(5, T), new), "{gone}");
-        assert!(net.peers(4).view().incarnation > 1 && net.peers(4).counts().namesakes <= 3, "{gone}");
+        assert!(net.run_until(bounds::refutation_round(5, T), new), "{periods_down}");
+        assert!(
+            net.peers(4).view().incarnation > 1 && net.peers(4).counts().namesakes <= 3,
+            "{periods_down}"
+        );
     }
 }
 
-/// Guards against: a process that stood still and then takes the whole fleet for dead, or never comes back.
+/// Guards against a stalled process that considers the whole fleet dead when it resumes, or never
+/// recovers.
 #[test]
-fn a_process_that_stood_still_blames_itself() {
-    for stood in [1, 3, 300] {
+fn stalled_process_recovers_and_declares_nobody_dead() {
+    for stalled_periods in [1, 3, 300] {
         let mut net = Net::settled(10, 2);
-        net.stop(3);
-        net.run(T * stood);
-        net.go_on(3);
+        net.suspend(3);
+        net.run(T * stalled_periods);
+        net.resume(3);
         let back = |net: &Net| net.all_hold(|_, _, standing| standing == Standing::Reachable);
         net.run(T / 100);
-        assert!(net.peers(3).view().unwell > 0 && net.peers(3).counts().late > 0, "{stood}");
-        assert!(net.run_until(bounds::refutation_round(10, T), back), "{stood}");
-        assert_eq!(net.peers(3).counts().deaths, 0, "{stood}");
+        assert!(net.peers(3).view().unwell > 0 && net.peers(3).counts().late > 0, "{stalled_periods}");
+        assert!(net.run_until(bounds::refutation_round(10, T), back), "{stalled_periods}");
+        assert_eq!(net.peers(3).counts().deaths, 0, "{stalled_periods}");
     }
 }
 
-/// Guards against: two live processes of one name that shout each other down, or that nobody can see.
+/// Guards against two live processes of one name that refute each other without end, or whose
+/// conflict is not visible.
 #[test]
-fn two_processes_of_one_name_are_counted_and_stay_quiet() {
+fn two_processes_of_one_name_are_counted_with_bounded_traffic() {
     let mut net = Net::settled(6, 4);
     net.start(5, Settings { me: id(4), name: "sidecar-4".into(), ..settings(5) });
     net.run(T * 20);
@@ -170,21 +182,22 @@
     net.run(T * 100);
     assert!(net.peers(4).counts().namesakes > 10 && net.peers(5).counts().namesakes > 10);
     assert!(net.peers(5).view().incarnation - raised <= 2 * 101);
-    // Beside a ping, its answer, a knock and what a suspicion costs.
+    // A ping, its ack, a ping outside the schedule and the traffic of a suspicion per member and
+    // period.
     assert!(net.sent.len() - before < 6 * 100 * 8, "{}", net.sent.len() - before);
 }
 
-/// Guards against: members that all hold each other dead and never knock again.
+/// Guards against members that all consider each other dead and never ping each other again.
 #[test]
-fn a_fleet_in_which_all_are_held_dead_comes_back_without_seeds() {
+fn members_that_consider_all_others_dead_reconnect_without_seeds() {
     let mut net = Net::new(4, 1);
     net.run(T * 5);
-    net.cut = (0..4).flat_map(|a| (0..4).map(move |b| (a, b))).collect();
+    net.cut_links = (0..4).flat_map(|a| (0..4).map(move |b| (a, b))).collect();
     net.run(bounds::known_to_all(4, T) * 3);
     assert!(net.all_hold(|_, _, standing| standing == Standing::LastKnown));
     assert!((0..4).all(|at| net.peers(at).view().part == Part::Smaller));
-    // The two seeds stay out of reach.
-    net.cut.retain(|(a, b)| *a < 2 || *b < 2);
+    // The two seeds remain unreachable.
+    net.cut_links.retain(|(a, b)| *a < 2 || *b < 2);
     let back = |net: &Net| net.standing(2, 3) == REACHABLE && net.standing(3, 2) == REACHABLE;
     assert!(net.run_until(T * 12, back));
 }
--- a/crates/peers/tests/properties.rs
+++ b/crates/peers/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What holds whatever comes, from whomever, in whatever order.
+//! Invariants that hold for any input, from any sender, in any order.
 
 mod common;
 
@@ -10,7 +10,8 @@
 use proptest::test_runner::RngSeed;
 use std::net::SocketAddrV4;
 
-/// Actions of one event at most: a table told in the longest updates, and what else may fall due with it.
+/// The most actions of one event: a sync response with the longest updates, and what else may be
+/// due.
 const ACTIONS_LIMIT: usize = MEMBERS_LIMIT / 13 + 1 + 64 + 16;
 
 fn any_update() -> impl Strategy<Value = Update> {
@@ -43,19 +44,19 @@
 
 fn any_packet() -> impl Strategy<Value = Packet> {
     let body = prop_oneof![
-        any::<u32>().prop_map(|number| Body::Ping { number }),
-        (any::<u32>(), 0..9u64, 0..9usize).prop_map(|(number, whom, at)| Body::PingFor {
-            number,
-            whom: MemberId(whom),
+        any::<u32>().prop_map(|nonce| Body::Ping { nonce }),
+        (any::<u32>(), 0..9u64, 0..9usize).prop_map(|(nonce, target, at)| Body::PingFor {
+            nonce,
+            target: MemberId(target),
             address: address(at)
         }),
-        any::<u32>().prop_map(|number| Body::Ack { number }),
-        any::<u32>().prop_map(|number| Body::Nack { number }),
+        any::<u32>().prop_map(|nonce| Body::Ack { nonce }),
+        any::<u32>().prop_map(|nonce| Body::Nack { nonce }),
         Just(Body::Sync),
         Just(Body::Known),
         Just(Body::Leave),
     ];
-    // Half of the senders speak as an honest one does.
+    // Half of the senders describe themselves as a correct member does.
     (any_update(), any::<bool>(), body, vec(any_update(), 0..120)).prop_map(
         |(from, honest, body, updates)| {
             let standing = if body == Body::Leave { Standing::Left } else { Standing::Reachable };
@@ -85,24 +86,24 @@
         1 => Just(Step::Leave),
         1 => Just(Step::Join),
     ];
-    // Milliseconds gone by since the step before: mostly none, now and then hours.
+    // Milliseconds since the previous step: mostly few, sometimes more than an hour.
     (prop_oneof![Just(0), 0..500u64, 0..5000u64, Just(4_000_000)], step)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 150, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Guards against: a panic, unbounded work or memory, a packet over its size, a wake that is due at once for
-    /// ever, and an own incarnation that goes back, whatever a member with the key says.
+    /// Guards against a panic, unbounded work or memory, an oversized packet, a wake that is always
+    /// due at once, and an own incarnation that goes back, whatever a member with the key sends.
     #[test]
-    fn nothing_that_is_told_breaks_a_member(steps in vec(any_step(), 1..60)) {
+    fn no_input_breaks_the_invariants(steps in vec(any_step(), 1..60)) {
         let mut peers = Peers::new(settings(0), Time(0));
         let (mut now, mut actions) = (Time(0), Vec::new());
         peers.handle(now, Event::Wake, &mut actions);
         let mut incarnation = peers.view().incarnation;
-        for (gone, step) in &steps {
+        for (elapsed, step) in &steps {
             actions.clear();
-            now = now + T * (*gone as u32) / 1000;
+            now = now + T * (*elapsed as u32) / 1000;
             let before = (peers.view(), peers.version());
             match step {
                 Step::Packet(packet) => peers.handle(now, Event::Packet(packet), &mut actions),
@@ -113,27 +114,27 @@
             prop_assert!(actions.len() <= ACTIONS_LIMIT, "{}", actions.len());
             for action in &actions {
                 match action {
-                    Action::WakeAt(then) => prop_assert!(*then > now),
+                    Action::WakeAt(due) => prop_assert!(*due > now),
                     Action::Send { packet, .. } => {
                         let length = postcard::to_allocvec(packet).unwrap().len();
                         prop_assert!(length <= PACKET_LIMIT - SEAL_ROOM, "{length}");
                         prop_assert_eq!(packet.from.id, id(0));
                         let left = packet.from.standing == Standing::Left;
-                        prop_assert!(!left || packet.body == Body::Leave, "{:?} after a goodbye", packet.body);
+                        prop_assert!(!left || packet.body == Body::Leave, "{:?} after leaving", packet.body);
                     }
                 }
             }
             let view = peers.view();
             prop_assert!(view.incarnation >= incarnation && view.members.len() <= MEMBERS_LIMIT);
-            prop_assert!(view == before.0 || peers.version() > before.1, "a change without a version");
+            prop_assert!(view == before.0 || peers.version() > before.1, "the view changed but not its version");
             incarnation = view.incarnation;
         }
     }
 
-    /// Guards against: a packet of before, sent again to whomever and whenever, that changes how anyone stands or costs
-    /// more than one refutation.
+    /// Guards against an old packet, replayed to any member at any time, that changes the state of
+    /// a member or costs more than one refutation.
     #[test]
-    fn an_old_packet_changes_no_view(
+    fn replayed_packet_changes_no_view(
         members in 3..6usize,
         seed in any::<u64>(),
         faults in vec((0..5u8, 0..5usize, 1..12u32), 0..4),
@@ -145,44 +146,44 @@
             let at = at % members;
             match fault {
                 0 => net.loss = 30,
-                1 => net.cut = (0..members).flat_map(|other| [(at, other), (other, at)]).collect(),
+                1 => net.cut_links = (0..members).flat_map(|other| [(at, other), (other, at)]).collect(),
                 2 => net.start(at, Settings { boot: net.now.0, ..settings(at) }),
-                3 => net.tell(at, Event::Leave),
-                _ => net.tell(at, Event::Join),
+                3 => net.deliver(at, Event::Leave),
+                _ => net.deliver(at, Event::Join),
             }
             net.run(T * periods);
-            net.cut.clear();
+            net.cut_links.clear();
         }
         net.loss = 0;
-        (0..members).for_each(|at| net.tell(at, Event::Join));
+        (0..members).for_each(|at| net.deliver(at, Event::Join));
         let whole = |net: &Net| net.all_hold(|_, _, standing| standing == Standing::Reachable);
         prop_assert!(net.run_until(bounds::known_to_all(members, T), whole));
-        // News of the faults has come to its end, too.
+        // Gossip about the faults ends, too.
         net.run(bounds::known_to_all(members, T));
         prop_assert!(whole(&net));
         let held = |net: &Net| -> Vec<Vec<Update>> {
-            let news = |at| net.peers(at).view().members.into_iter().map(|member| member.news).collect();
-            (0..members).map(news).collect()
+            let updates = |at| net.peers(at).view().members.into_iter().map(|member| member.news).collect();
+            (0..members).map(updates).collect()
         };
         let (before, sent) = (held(&net), net.sent.clone());
         for (which, to) in again {
-            net.tell(to % members, Event::Packet(&which.get(&sent).1));
+            net.deliver(to % members, Event::Packet(&which.get(&sent).1));
             net.run(T / 4);
         }
         net.run(bounds::refutation_round(members, T));
         for (now, before) in held(&net).into_iter().flatten().zip(before.into_iter().flatten()) {
-            // A suspicion that only a process since restarted held may have to be contradicted after all: once.
+            // A suspicion that only a restarted process used to hold may have to be refuted once.
             prop_assert!(now.incarnation - before.incarnation <= 1, "{before:?} {now:?}");
             prop_assert_eq!(Update { incarnation: 0, ..now }, Update { incarnation: 0, ..before });
         }
     }
 }
 
-/// Guards against: a packet over its size once sealed, whatever room its head leaves, or fewer than 13 of the
-/// longest updates in one.
+/// Guards against a packet that exceeds the limit once sealed, whatever space its header leaves,
+/// and fewer than 13 of the longest updates in one packet.
 #[test]
-fn the_fullest_packet_fits_with_its_seal() {
-    // As the datagram has it: version, cluster, MAC.
+fn largest_packet_fits_the_limit_with_its_seal() {
+    // Version, cluster and MAC, as in a datagram.
     let seal = 1 + 8 + 16;
     for own_name in 1..=NAME_LIMIT {
         let longest = |number: u64| Update {
@@ -199,7 +200,7 @@
         peers.handle(Time(0), Event::Wake, &mut actions);
         for part in 0..4 {
             let updates = (1..60).map(|number| longest(part * 60 + number)).collect();
-            let packet = Packet { from: longest(0), body: Body::Ping { number: 1 }, updates };
+            let packet = Packet { from: longest(0), body: Body::Ping { nonce: 1 }, updates };
             actions.clear();
             peers.handle(Time(0), Event::Packet(&packet), &mut actions);
         }
--- a/crates/peers/tests/rules.rs
+++ b/crates/peers/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Single rules, at one member told packets by hand.
+//! Single rules, tested with hand-made packets to one member.
 
 mod common;
 
@@ -15,9 +15,9 @@
     peers
 }
 
-fn tell(peers: &mut Peers, now: Time, from: usize, body: Body, updates: Vec<Update>) -> Vec<Action> {
+fn deliver(peers: &mut Peers, now: Time, from: usize, body: Body, updates: Vec<Update>) -> Vec<Action> {
     let mut actions = Vec::new();
-    peers.handle(now, Event::Packet(&Packet { from: news(from), body, updates }), &mut actions);
+    peers.handle(now, Event::Packet(&Packet { from: initial_update(from), body, updates }), &mut actions);
     actions
 }
 
@@ -29,30 +29,31 @@
     sends.collect()
 }
 
-/// Members pinged, and the number to answer with.
+/// The members pinged, with the nonce that an ack has to carry.
 fn pings(actions: &[Action]) -> Vec<(usize, u32)> {
     let pings = actions.iter().filter_map(|action| match action {
-        Action::Send { to, packet: Packet { body: Body::Ping { number }, .. } } => {
-            Some((usize::from(to.port()) - 7000, *number))
+        Action::Send { to, packet: Packet { body: Body::Ping { nonce }, .. } } => {
+            Some((usize::from(to.port()) - 7000, *nonce))
         }
         _ => None,
     });
     pings.collect()
 }
 
-fn said(of: usize, standing: Standing, by: usize) -> Update {
-    Update { standing, by: id(by), ..news(of) }
+fn report(of: usize, standing: Standing, by: usize) -> Update {
+    Update { standing, by: id(by), ..initial_update(of) }
 }
 
-/// Guards against: a table that grows without bound, or that forgets a reachable member to hold another.
+/// Guards against a table that grows without bound, or that drops a reachable member to hold
+/// another.
 #[test]
-fn a_full_table_forgets_the_longest_gone_and_never_a_reachable_one() {
+fn full_table_drops_the_longest_dead_and_never_a_reachable_member() {
     let mut peers = started();
-    let last_known: Vec<_> = (2000..2002).map(|at| said(at, Standing::LastKnown, at)).collect();
-    tell(&mut peers, NOW, 1, Body::Known, last_known);
+    let last_known: Vec<_> = (2000..2002).map(|at| report(at, Standing::LastKnown, at)).collect();
+    deliver(&mut peers, NOW, 1, Body::Known, last_known);
     for from in (2..1100).step_by(90) {
-        let some = (from..from + 90).map(news).collect();
-        tell(&mut peers, NOW + T / 1000, 1, Body::Known, some);
+        let some = (from..from + 90).map(initial_update).collect();
+        deliver(&mut peers, NOW + T / 1000, 1, Body::Known, some);
     }
     let members = peers.view().members;
     assert_eq!(members.len(), MEMBERS_LIMIT);
@@ -61,16 +62,16 @@
     assert!(peers.counts().full > 0);
 }
 
-/// Guards against: members that are gone and held for ever, or not for as long as they should.
+/// Guards against dead members that are kept forever, or for another time than specified.
 #[test]
-fn who_is_gone_is_forgotten_in_time() {
+fn dead_and_left_members_are_removed_after_their_retention_time() {
     let mut peers = started();
-    tell(
+    deliver(
         &mut peers,
         NOW,
         1,
         Body::Known,
-        vec![said(2, Standing::LastKnown, 2), said(3, Standing::Left, 3)],
+        vec![report(2, Standing::LastKnown, 2), report(3, Standing::Left, 3)],
     );
     let holds = |peers: &mut Peers, at: u64, of| {
         peers.handle(NOW + Duration::from_secs(at), Event::Wake, &mut Vec::new());
@@ -80,130 +81,133 @@
     assert!(holds(&mut peers, 3590, 2) && !holds(&mut peers, 3620, 2));
 }
 
-/// Guards against: an overflow, or a member shut out by an incarnation that no honest one reaches.
+/// Guards against an overflow, and a member shut out by an incarnation that no correct member
+/// reaches.
 #[test]
-fn absurd_incarnations_are_dropped_and_counted() {
+fn implausible_incarnations_are_dropped_and_counted() {
     let mut peers = started();
-    let absurd = Update { incarnation: u64::MAX, ..said(2, Standing::LastKnown, 2) };
-    let own = Update { incarnation: u64::MAX, ..said(0, Standing::LastKnown, 0) };
-    tell(&mut peers, NOW, 1, Body::Ping { number: 1 }, vec![news(2), absurd, own]);
+    let implausible = Update { incarnation: u64::MAX, ..report(2, Standing::LastKnown, 2) };
+    let own = Update { incarnation: u64::MAX, ..report(0, Standing::LastKnown, 0) };
+    deliver(&mut peers, NOW, 1, Body::Ping { nonce: 1 }, vec![initial_update(2), implausible, own]);
     assert_eq!((peers.counts().absurd, peers.view().incarnation), (2, 1));
-    assert_eq!(peers.view().members[2].news, news(2));
+    assert_eq!(peers.view().members[2].news, initial_update(2));
 }
 
-/// Guards against: one suspicion passed on by many that is taken for many, and names made up to hurry it.
+/// Guards against one suspicion passed on by many members that counts as many, and invented ids
+/// that shorten the timeout.
 #[test]
-fn only_members_that_suspect_by_themselves_confirm() {
-    let ends = |by: &[usize]| {
+fn only_independent_suspicions_confirm() {
+    let quarters_until_death = |by: &[usize]| {
         let mut peers = started();
-        tell(&mut peers, NOW, 1, Body::Known, (1..10).map(news).collect());
+        deliver(&mut peers, NOW, 1, Body::Known, (1..10).map(initial_update).collect());
         for (from, by) in by.iter().enumerate() {
-            let suspected = vec![said(9, Standing::Suspected, *by)];
-            tell(&mut peers, NOW, 1 + from, Body::Ping { number: 1 }, suspected);
+            let suspected = vec![report(9, Standing::Suspected, *by)];
+            deliver(&mut peers, NOW, 1 + from, Body::Ping { nonce: 1 }, suspected);
         }
-        let fallen = |peers: &Peers| peers.view().members[9].news.standing == Standing::LastKnown;
+        let dead = |peers: &Peers| peers.view().members[9].news.standing == Standing::LastKnown;
         (0..200).find(|quarter| {
             let (now, mut actions) = (NOW + T / 4 * *quarter, Vec::new());
             peers.handle(now, Event::Wake, &mut actions);
             // All but the suspect answer, so that any of them could confirm.
-            for (to, number) in pings(&actions).into_iter().filter(|(to, _)| *to != 9) {
-                tell(&mut peers, now, to, Body::Ack { number }, vec![]);
+            for (to, nonce) in pings(&actions).into_iter().filter(|(to, _)| *to != 9) {
+                deliver(&mut peers, now, to, Body::Ack { nonce }, vec![]);
             }
-            fallen(&peers)
+            dead(&peers)
         })
     };
-    let unconfirmed = ends(&[1]);
+    let unconfirmed = quarters_until_death(&[1]);
     assert!(unconfirmed.is_some_and(|quarter| T / 4 * quarter >= bounds::suspicion(10, T, 1, 3)));
-    assert_eq!(ends(&[1, 1, 1, 1]), unconfirmed);
-    assert_eq!(ends(&[1, 700, 701, 702]), unconfirmed);
-    assert_eq!(ends(&[1, 2, 3, 4]), Some(20));
+    assert_eq!(quarters_until_death(&[1, 1, 1, 1]), unconfirmed);
+    assert_eq!(quarters_until_death(&[1, 700, 701, 702]), unconfirmed);
+    assert_eq!(quarters_until_death(&[1, 2, 3, 4]), Some(20));
 }
 
-/// Guards against: a helper that never says that it has no answer, or says it of one that has answered.
+/// Guards against a helper that never sends a nack, or sends one for a member that has answered.
 #[test]
-fn a_helper_answers_either_way() {
-    let ask = Body::PingFor { number: 7, whom: id(2), address: address(2) };
+fn helper_answers_with_ack_or_nack() {
+    let request = Body::PingFor { nonce: 7, target: id(2), address: address(2) };
     let mut peers = started();
-    let asked = tell(&mut peers, NOW, 1, ask.clone(), vec![]);
-    let Some(Body::Ping { number }) = bodies(&asked).first().copied().cloned() else { panic!("{asked:?}") };
-    let answered = tell(&mut peers, NOW, 2, Body::Ack { number }, vec![]);
-    assert!(bodies(&answered).contains(&&Body::Ack { number: 7 }));
+    let sent = deliver(&mut peers, NOW, 1, request.clone(), vec![]);
+    let Some(Body::Ping { nonce }) = bodies(&sent).first().copied().cloned() else { panic!("{sent:?}") };
+    let answered = deliver(&mut peers, NOW, 2, Body::Ack { nonce }, vec![]);
+    assert!(bodies(&answered).contains(&&Body::Ack { nonce: 7 }));
 
     let mut peers = started();
-    tell(&mut peers, NOW, 1, ask, vec![]);
+    deliver(&mut peers, NOW, 1, request, vec![]);
     let mut actions = Vec::new();
     peers.handle(NOW + T / 3, Event::Wake, &mut actions);
-    assert!(bodies(&actions).contains(&&Body::Nack { number: 7 }));
+    assert!(bodies(&actions).contains(&&Body::Nack { nonce: 7 }));
 }
 
-/// Guards against: whole tables sent as often as anyone asks.
+/// Guards against sending the whole table as often as any member requests it.
 #[test]
-fn two_full_exchanges_are_given_in_a_period() {
+fn two_sync_requests_are_answered_in_a_period() {
     let mut peers = started();
-    let given = |peers: &mut Peers| {
-        let actions = tell(peers, NOW, 1, Body::Sync, vec![]);
+    let answered = |peers: &mut Peers| {
+        let actions = deliver(peers, NOW, 1, Body::Sync, vec![]);
         bodies(&actions).contains(&&Body::Known)
     };
-    assert_eq!([(); 4].map(|()| given(&mut peers)), [true, true, false, false]);
+    assert_eq!([(); 4].map(|()| answered(&mut peers)), [true, true, false, false]);
     assert_eq!(peers.counts().withheld, 2);
 }
 
-/// Guards against: waits that grow because others are silent (a cut would be seen late), and waits that do not grow
-/// for a member whose answers come too late.
+/// Guards against timeouts that grow because other members are silent, which would delay the
+/// detection of a partition, and timeouts that don't grow when answers come too late.
 #[test]
-fn a_late_answer_lengthens_the_waits_and_silence_does_not() {
+fn late_answers_lengthen_timeouts_and_silence_does_not() {
     let mut peers = started();
-    tell(&mut peers, NOW, 1, Body::Known, (1..6).map(news).collect());
+    deliver(&mut peers, NOW, 1, Body::Known, (1..6).map(initial_update).collect());
     let mut pinged = Vec::new();
     for third in 1..=12 {
         let mut actions = Vec::new();
         peers.handle(NOW + T / 3 * third + T / 100, Event::Wake, &mut actions);
-        // Not the probe that still runs at the end.
+        // Leaves out the probe that is still running at the end.
         pinged.extend(pings(&actions).into_iter().filter(|_| third < 9));
     }
     assert!(peers.counts().suspicions >= 2);
     assert_eq!((peers.view().unwell, peers.counts().late), (0, 0));
-    // Knocks at suspects and pings of probes alike: each probe counts once, however often its answer comes.
+    // These are pings to suspects as well as probes. Each probe counts once, however often its
+    // answer arrives.
     for _ in 0..3 {
-        for (to, number) in &pinged {
-            tell(&mut peers, NOW + T * 4 + T / 50, *to, Body::Ack { number: *number }, vec![]);
+        for (to, nonce) in &pinged {
+            deliver(&mut peers, NOW + T * 4 + T / 50, *to, Body::Ack { nonce: *nonce }, vec![]);
         }
     }
     assert_eq!(u64::from(peers.view().unwell), peers.counts().suspicions, "{:?}", peers.counts());
 }
 
-/// Guards against: a suspect that is only told of and falls without having been asked by this member, which may have
-/// missed its answer to all.
+/// Guards against a suspect reported by others that is declared dead without a ping from this
+/// member, which may have missed its refutation.
 #[test]
-fn a_suspect_is_pinged_in_its_last_period_whoever_suspects_it() {
+fn suspect_is_pinged_in_its_last_period_whichever_member_suspects_it() {
     let mut peers = started();
-    tell(&mut peers, NOW, 1, Body::Known, (1..60).map(news).collect());
+    deliver(&mut peers, NOW, 1, Body::Known, (1..60).map(initial_update).collect());
     for by in 1..5 {
-        tell(&mut peers, NOW, by, Body::Ping { number: 1 }, vec![said(59, Standing::Suspected, by)]);
+        deliver(&mut peers, NOW, by, Body::Ping { nonce: 1 }, vec![report(59, Standing::Suspected, by)]);
     }
-    let (mut asked, mut quarter) = (Vec::new(), 0);
+    let (mut pinged_at, mut quarter) = (Vec::new(), 0);
     while peers.counts().deaths == 0 && quarter < 200 {
         quarter += 1;
         let (now, mut actions) = (NOW + T / 4 * quarter, Vec::new());
         peers.handle(now, Event::Wake, &mut actions);
-        for (to, number) in pings(&actions) {
+        for (to, nonce) in pings(&actions) {
             if to == 59 {
-                asked.push(quarter);
+                pinged_at.push(quarter);
             } else {
-                tell(&mut peers, now, to, Body::Ack { number }, vec![]);
+                deliver(&mut peers, now, to, Body::Ack { nonce }, vec![]);
             }
         }
     }
     assert!(peers.counts().deaths == 1 && peers.counts().suspicions == 0, "{:?}", peers.counts());
-    assert!(asked.len() == 1 && asked[0] + 5 >= quarter, "{asked:?}, ended {quarter}");
+    assert!(pinged_at.len() == 1 && pinged_at[0] + 5 >= quarter, "{pinged_at:?}, ended {quarter}");
 }
 
-/// Guards against: a member suspected for its silence to a ping that this process could not send.
+/// Guards against suspecting a member for not answering a ping that this process could not send.
 #[test]
-fn who_could_not_be_pinged_is_not_suspected() {
+fn member_is_not_suspected_when_its_ping_could_not_be_sent() {
     let standing_after_a_period = |sent: bool| {
         let mut peers = started();
-        let mut actions = tell(&mut peers, NOW, 1, Body::Known, vec![]);
+        let mut actions = deliver(&mut peers, NOW, 1, Body::Known, vec![]);
         let mut now = NOW;
         while pings(&actions).is_empty() {
             now = now + T / 10;
