--- a/crates/mesh/src/counts.rs
+++ b/crates/mesh/src/counts.rs
@@ -1,13 +1,13 @@
-//! What the shell has seen and done, counted without a lock.
+//! Lock-free counters of the runtime.
 
 use crate::seal::Refusal;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// One count.
+/// One counter.
 #[derive(Debug, Default)]
-pub(crate) struct Count(AtomicU64);
+pub(crate) struct Counter(AtomicU64);
 
-impl Count {
+impl Counter {
     pub(crate) fn add(&self) {
         self.0.fetch_add(1, Relaxed);
     }
@@ -18,39 +18,40 @@
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Counters {
-    pub(crate) taken: Count,
-    pub(crate) refused: [Count; Refusal::ALL.len()],
-    pub(crate) receive_failed: Count,
-    pub(crate) sent: Count,
-    pub(crate) send_failed: Count,
-    pub(crate) too_long: Count,
-    pub(crate) commands_dropped: Count,
-    pub(crate) panics: Count,
+pub(crate) struct WorkerCounters {
+    pub(crate) taken: Counter,
+    pub(crate) refused: [Counter; Refusal::ALL.len()],
+    pub(crate) receive_failed: Counter,
+    pub(crate) sent: Counter,
+    pub(crate) send_failed: Counter,
+    pub(crate) too_long: Counter,
+    pub(crate) commands_dropped: Counter,
+    pub(crate) panics: Counter,
 }
 
-/// Figures of the shell since its start.
+/// The counters of the runtime since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Figures {
-    /// Datagrams whose seal was right.
+    /// Datagrams received whose seal was valid.
     pub taken: u64,
-    /// Datagrams refused, in the order of [`Refusal::ALL`].
+    /// Datagrams rejected, in the order of [`Refusal::ALL`].
     pub refused: [u64; Refusal::ALL.len()],
-    /// Times the socket gave an error instead of a datagram, such as word of a peer that is not there.
+    /// Errors returned by the socket instead of a datagram, for example because no process listens
+    /// at a peer's address.
     pub receive_failed: u64,
     /// Datagrams sent.
     pub sent: u64,
-    /// Datagrams that the socket did not take; they are not sent again.
+    /// Datagrams that the socket did not accept; they are not resent.
     pub send_failed: u64,
-    /// Packets too long for a datagram: a fault of a plane.
+    /// Packets too long for a datagram, which is a bug in the protocol implementation.
     pub too_long: u64,
-    /// Words of the sidecar's loop that found no room.
+    /// Commands dropped because the queue was full.
     pub commands_dropped: u64,
-    /// Faults that a worker fell over. The member starts anew after each.
+    /// Panics caught in workers. After each one the membership state machine is restarted.
     pub panics: u64,
 }
 
-impl Counters {
+impl WorkerCounters {
     pub(crate) fn figures(&self) -> Figures {
         Figures {
             taken: self.taken.get(),
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -1,13 +1,13 @@
-//! The shell of a fleet of sidecars: a pool of workers over shared tables, around planes that know no sockets. See
-//! `docs/design/peers.md`.
+//! The runtime of a fleet of sidecars: a pool of workers with shared tables, around protocol state machines
+//! without I/O. See `docs/design/peers.md`.
 //!
-//! [`Mesh::start`] is the way in: it takes a bound UDP socket and starts the workers. The sidecar's loop holds a
-//! [`Handle`]: it reads whole snapshots and hands words over, and never takes a lock nor waits. Dropping the mesh ends
-//! all workers.
+//! The entry point is [`Mesh::start`], which takes a bound UDP socket and starts the workers. The sidecar's event
+//! loop holds a [`Handle`] to read whole snapshots and send commands; it never takes a lock and never blocks.
+//! Dropping the mesh stops all workers.
 //!
 //! ```text
-//! socket -> seal (no lock) -> plane (members' lock) -> snapshot (arc-swap) -> the sidecar's loop
-//!                                  ^------ commands (bounded) -------------------'
+//! socket -> seal (no lock) -> state machine (members lock) -> snapshot (arc-swap) -> the sidecar's event loop
+//!                                     ^-------- commands (bounded) -----------------------'
 //! ```
 
 mod counts;
--- a/crates/mesh/src/members.rs
+++ b/crates/mesh/src/members.rs
@@ -1,4 +1,4 @@
-//! The members' table: the plane, when it wants to wake, and what was last published of it.
+//! The member table: the membership state machine, its next wake, and the snapshot last published.
 
 use crate::Snapshot;
 use cottonpoint_decide::Time;
@@ -6,39 +6,49 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The state under the members' lock.
+/// The state under the members lock.
 pub(crate) struct Members {
     settings: Settings,
-    plane: Peers,
-    /// When the plane wants to wake.
+    protocol: Peers,
+    /// When the state machine wants to be woken.
     pub(crate) wake_at: Time,
-    /// Whether the last step came to its end: a plane that fell in the middle of one is not to be trusted.
-    whole: bool,
-    /// Whether it was told to leave.
+    /// Whether the last event was processed to its end. After a panic in the middle of one, the
+    /// state machine cannot be trusted.
+    last_event_completed: bool,
+    /// Whether the latest command was to leave.
     left: bool,
-    /// Versions that went by before this plane began.
-    versions: u64,
+    /// The version of the previous state machine when this one was created.
+    version_offset: u64,
     published: Snapshot,
 }
 
 impl Members {
-    /// A plane that wakes first at `now`, and its first snapshot.
+    /// Creates a state machine whose first wake is at `now`, and its first snapshot.
     pub(crate) fn new(settings: Settings, now: Time) -> Members {
-        let plane = Peers::new(settings.clone(), now);
-        let published = Snapshot { view: Arc::new(plane.view()), counts: plane.counts() };
-        Members { settings, plane, wake_at: now, whole: true, left: false, versions: 0, published }
+        let protocol = Peers::new(settings.clone(), now);
+        let published = Snapshot { view: Arc::new(protocol.view()), counts: protocol.counts() };
+        Members {
+            settings,
+            protocol,
+            wake_at: now,
+            last_event_completed: true,
+            left: false,
+            version_offset: 0,
+            published,
+        }
     }
 
     pub(crate) fn published(&self) -> Snapshot {
         self.published.clone()
     }
 
-    /// One step of the plane. What there is to send is added to `to_do`; a snapshot comes where anything changed.
-    pub(crate) fn step(
+    /// Passes one event to the state machine. Packets to send are appended to `actions`; returns a
+    /// snapshot if anything changed.
+    pub(crate) fn handle(
         &mut self,
         now: Time,
         event: Event<'_>,
-        to_do: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Option<Snapshot> {
         if matches!(event, Event::Wake) && now < self.wake_at {
             return None; // Another worker was there first.
@@ -48,13 +58,13 @@
             Event::Join => self.left = false,
             _ => {}
         }
-        if !self.whole {
-            self.start_anew(now, to_do);
+        if !self.last_event_completed {
+            self.restart_protocol(now, actions);
         }
-        self.whole = false;
-        self.plane.handle(now, event, to_do);
-        self.whole = true;
-        to_do.retain(|action| match action {
+        self.last_event_completed = false;
+        self.protocol.handle(now, event, actions);
+        self.last_event_completed = true;
+        actions.retain(|action| match action {
             Action::WakeAt(time) => {
                 self.wake_at = *time;
                 false
@@ -64,22 +74,23 @@
         self.publish()
     }
 
-    /// As a new process of the same name would: another boot, and an incarnation above the last one seen.
-    fn start_anew(&mut self, now: Time, to_do: &mut Vec<Action>) {
+    /// Replaces the state machine as a new process of the same name would: with another boot id,
+    /// and an incarnation above the last one published.
+    fn restart_protocol(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.settings.boot = xxh3_64(&self.settings.boot.to_be_bytes());
         self.settings.incarnation = self.published.view.incarnation.saturating_add(1);
-        self.versions = self.published.view.version;
-        self.plane = Peers::new(self.settings.clone(), now);
-        self.plane.handle(now, Event::Wake, to_do);
+        self.version_offset = self.published.view.version;
+        self.protocol = Peers::new(self.settings.clone(), now);
+        self.protocol.handle(now, Event::Wake, actions);
         if self.left {
-            self.plane.handle(now, Event::Leave, to_do);
+            self.protocol.handle(now, Event::Leave, actions);
         }
     }
 
     fn publish(&mut self) -> Option<Snapshot> {
-        let (version, counts) = (self.versions + self.plane.version(), self.plane.counts());
+        let (version, counts) = (self.version_offset + self.protocol.version(), self.protocol.counts());
         if version != self.published.view.version {
-            let mut view = self.plane.view();
+            let mut view = self.protocol.view();
             view.version = version;
             self.published.view = Arc::new(view);
         } else if counts == self.published.counts {
@@ -89,11 +100,11 @@
         Some(self.published.clone())
     }
 
-    /// Falls in the middle of a step.
+    /// Panics as if in the middle of an event.
     #[cfg(test)]
-    pub(crate) fn fall(&mut self) -> Snapshot {
-        self.whole = false;
-        panic!("a fault in the plane, made for a test");
+    pub(crate) fn panic_for_test(&mut self) -> Snapshot {
+        self.last_event_completed = false;
+        panic!("a panic injected by a test");
     }
 }
 
@@ -104,10 +115,10 @@
     use std::panic::{AssertUnwindSafe, catch_unwind};
     use std::time::Duration;
 
-    /// Guards against: a view whose version or incarnation goes back, or a member back in the fleet that had left it,
-    /// after a fall.
+    /// Guards against a view whose version or incarnation goes back after a panic, and a member
+    /// that thereby rejoins the fleet after it had left.
     #[test]
-    fn a_member_that_starts_anew_goes_on_from_where_it_was() {
+    fn restarted_member_continues_version_incarnation_and_leave() {
         let settings = Settings {
             me: id_of("me"),
             name: "me".to_owned(),
@@ -118,19 +129,19 @@
             period: Duration::from_secs(1),
             seed: 1,
         };
-        let (now, mut to_do) = (Time(0), Vec::new());
+        let (now, mut actions) = (Time(0), Vec::new());
         let mut members = Members::new(settings, now);
-        members.step(now, Event::Wake, &mut to_do);
-        members.step(now, Event::Packet(&packet(9)), &mut to_do);
-        members.step(now, Event::Leave, &mut to_do);
+        members.handle(now, Event::Wake, &mut actions);
+        members.handle(now, Event::Packet(&packet(9)), &mut actions);
+        members.handle(now, Event::Leave, &mut actions);
         let before = members.published().view;
-        assert!(before.version > 5, "many changes went by");
-        assert!(catch_unwind(AssertUnwindSafe(|| members.fall())).is_err());
-        members.step(members.wake_at, Event::Wake, &mut to_do);
+        assert!(before.version > 5, "several changes");
+        assert!(catch_unwind(AssertUnwindSafe(|| members.panic_for_test())).is_err());
+        members.handle(members.wake_at, Event::Wake, &mut actions);
         let after = members.published().view;
         assert!(after.version > before.version, "{} after {}", after.version, before.version);
         assert!(after.incarnation > before.incarnation);
-        let me = after.members.iter().find(|member| member.news.id == after.me).expect("itself");
+        let me = after.members.iter().find(|member| member.news.id == after.me).expect("this member");
         assert_eq!(me.news.standing, cottonpoint_peers::Standing::Left);
     }
 }
--- a/crates/mesh/src/pool.rs
+++ b/crates/mesh/src/pool.rs
@@ -1,9 +1,10 @@
-//! The workers: threads on one UDP socket, each blocking until a datagram, a command, the plane's next wake or the
-//! stop. A datagram is opened without a lock, the plane's step is made under it, and what there is to send is sent
-//! after it. Nothing here spins, retries in a loop or takes the sidecar along when it falls.
+//! The workers: threads that share one UDP socket, each blocking until a datagram, a command, the
+//! next wake of the state machine or the stop event. A datagram is verified without a lock, the
+//! state machine runs under it, and packets are sent after it is released. No worker spins or
+//! retries in a loop, and no panic in one affects the sidecar.
 
-use crate::counts::{Counters, Figures};
-use crate::lock::{Ranked, assert_none_held};
+use crate::counts::{Figures, WorkerCounters};
+use crate::lock::{RankedMutex, assert_none_held};
 use crate::members::Members;
 use crate::seal::{DATAGRAM_LIMIT, Key, Seal};
 use crate::tables::{MEMBERS, Table};
@@ -22,53 +23,54 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Workers at most: past a few, all wait for one lock.
+/// Workers at most: beyond a few, all wait for the same lock.
 pub const WORKERS_LIMIT: usize = 8;
-/// Datagrams that a worker reads before it looks at the clock, the commands and the stop again.
-const BATCH: usize = 32;
-/// Commands that wait at most. The loop's are few: goodbyes and returns.
-const COMMANDS: usize = 64;
-/// The least sleep of a worker that nothing wakes: whatever a plane asks for, none spins.
-const SLEEP_LEAST: Duration = Duration::from_millis(1);
-/// After a fall, or where the socket gives nothing but errors, a worker waits this long.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Datagrams that a worker reads before it checks the clock, the commands and the stop event again.
+const RECEIVE_BATCH: usize = 32;
+/// Length of the command queue. The event loop sends few commands: leave and join.
+const COMMAND_QUEUE_LENGTH: usize = 64;
+/// The minimum sleep of a worker without events, so that no wake time requested by the state
+/// machine makes workers spin.
+const MIN_SLEEP: Duration = Duration::from_millis(1);
+/// How long a worker waits after a panic, or when the socket returns nothing but errors.
+const ERROR_BACKOFF: Duration = Duration::from_millis(10);
 
-/// The identity of a member: a hash of its name.
+/// The id of a member: a hash of its name.
 pub fn id_of(name: &str) -> MemberId {
     MemberId(xxh3_64(name.as_bytes()))
 }
 
-/// All that the shell is told at its start.
+/// The configuration of the runtime.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// For the plane.
+    /// Settings of the membership state machine.
     pub peers: cottonpoint_peers::Settings,
-    /// The cluster's name.
+    /// The name of the cluster.
     pub cluster: String,
-    /// The first signs, any is taken.
+    /// The cluster keys: the first one signs, all are accepted.
     pub keys: Vec<Key>,
-    /// Threads, 1 to [`WORKERS_LIMIT`].
+    /// The number of threads, 1 to [`WORKERS_LIMIT`].
     pub workers: usize,
 }
 
-/// What the sidecar's loop tells the fleet.
+/// A command from the sidecar's event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Say goodbye.
+    /// Leave the fleet.
     Leave,
-    /// Be a member again.
+    /// Rejoin the fleet.
     Join,
-    /// Falls under the lock.
+    /// Panics under the lock.
     #[cfg(test)]
-    Fall,
+    Panic,
 }
 
-/// What is published of the members' table.
+/// The published state of the member table.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// Who is there.
+    /// The fleet as this member sees it.
     pub view: Arc<View>,
-    /// What the plane has counted.
+    /// The counters of the state machine.
     pub counts: Counts,
 }
 
@@ -76,25 +78,26 @@
     socket: UdpSocket,
     seal: Seal,
     origin: Instant,
-    table: Table<Ranked<Members>, ArcSwap<Snapshot>>,
-    /// When the plane wants to wake, in nanoseconds; written under the members' lock.
+    table: Table<RankedMutex<Members>, ArcSwap<Snapshot>>,
+    /// When the state machine wants to be woken, in nanoseconds; written under the members lock.
     wake_at: AtomicU64,
     commands: Receiver<Command>,
-    /// Rung for each command, and hushed by the worker that takes them.
-    bell: OwnedFd,
-    /// Rung once, and never hushed: each worker sees it.
-    stop: OwnedFd,
-    counters: Counters,
+    /// Signalled for each command, and cleared by the worker that takes the commands.
+    command_event: OwnedFd,
+    /// Signalled once and never cleared, so that each worker sees it.
+    stop_event: OwnedFd,
+    counters: WorkerCounters,
 }
 
-/// The shell at work. Dropped, it ends its workers and waits for them; commands handed over by then are heeded.
+/// The running workers. Dropping it stops them and waits for them; commands sent before that are
+/// still executed.
 pub struct Mesh {
     shared: Arc<Shared>,
     commands: Sender<Command>,
     workers: Vec<JoinHandle<()>>,
 }
 
-/// What the sidecar's loop holds of the shell. It takes no lock and never waits.
+/// The event loop's access to the runtime. It takes no lock and never blocks.
 #[derive(Clone)]
 pub struct Handle {
     shared: Arc<Shared>,
@@ -102,25 +105,25 @@
 }
 
 impl Mesh {
-    /// Starts the workers on a bound socket. Fails where the system gives no thread or descriptor.
+    /// Starts the workers on a bound socket. Fails if the system provides no thread or descriptor.
     pub fn start(socket: UdpSocket, settings: Settings) -> io::Result<Mesh> {
         socket.set_nonblocking(true)?;
         let members = Members::new(settings.peers, Time(0));
-        let board = ArcSwap::from_pointee(members.published());
-        let (commands, taken) = async_channel::bounded(COMMANDS);
-        let ring = || eventfd(0, EventfdFlags::NONBLOCK | EventfdFlags::CLOEXEC);
+        let cell = ArcSwap::from_pointee(members.published());
+        let (commands, command_receiver) = async_channel::bounded(COMMAND_QUEUE_LENGTH);
+        let new_event = || eventfd(0, EventfdFlags::NONBLOCK | EventfdFlags::CLOEXEC);
         let shared = Arc::new(Shared {
             socket,
             seal: Seal::new(&settings.cluster, &settings.keys),
             origin: Instant::now(),
-            table: Table::new(Ranked::new(MEMBERS, members), board),
+            table: Table::new(RankedMutex::new(MEMBERS, members), cell),
             wake_at: AtomicU64::new(0),
-            commands: taken,
-            bell: ring()?,
-            stop: ring()?,
-            counters: Counters::default(),
+            commands: command_receiver,
+            command_event: new_event()?,
+            stop_event: new_event()?,
+            counters: WorkerCounters::default(),
         });
-        // Dropped on the way out, it ends those already started.
+        // If this function returns early, dropping the mesh stops the workers already started.
         let mut mesh = Mesh { shared: shared.clone(), commands, workers: Vec::new() };
         for n in 0..settings.workers.clamp(1, WORKERS_LIMIT) {
             let shared = shared.clone();
@@ -130,7 +133,7 @@
         Ok(mesh)
     }
 
-    /// What the sidecar's loop holds.
+    /// Creates a handle for the event loop.
     pub fn handle(&self) -> Handle {
         Handle { shared: self.shared.clone(), commands: self.commands.clone() }
     }
@@ -138,41 +141,42 @@
 
 impl Drop for Mesh {
     fn drop(&mut self) {
-        // A counter from 0 takes 1: that cannot fail.
-        let _ = rustix::io::write(&self.shared.stop, &1u64.to_ne_bytes());
+        // Adding 1 to a counter of 0 cannot fail.
+        let _ = rustix::io::write(&self.shared.stop_event, &1u64.to_ne_bytes());
         for worker in self.workers.drain(..) {
-            // Its falls were caught and counted.
+            // Panics of the worker were caught and counted.
             let _ = worker.join();
         }
     }
 }
 
 impl Handle {
-    /// The newest snapshot.
+    /// The latest snapshot.
     pub fn snapshot(&self) -> Arc<Snapshot> {
         self.shared.table.read()
     }
 
-    /// Hands a command over; where there is no room for it, it is dropped and counted.
+    /// Queues a command; if the queue is full, the command is dropped and counted.
     pub fn tell(&self, command: Command) {
         match self.commands.try_send(command) {
-            // A bell that cannot be rung any louder rings already.
-            Ok(()) => drop(rustix::io::write(&self.shared.bell, &1u64.to_ne_bytes())),
+            // The write can fail only if the counter is at its maximum, so the event is signalled
+            // already.
+            Ok(()) => drop(rustix::io::write(&self.shared.command_event, &1u64.to_ne_bytes())),
             Err(_) => self.shared.counters.commands_dropped.add(),
         }
     }
 
-    /// The shell's figures.
+    /// The counters of the runtime.
     pub fn figures(&self) -> Figures {
         self.shared.counters.figures()
     }
 
-    /// The time on the clock by which snapshots are dated.
+    /// The current time on the clock used in snapshots.
     pub fn now(&self) -> Time {
         self.shared.now()
     }
 
-    /// Where the socket is bound.
+    /// The address that the socket is bound to.
     pub fn address(&self) -> Option<SocketAddrV4> {
         match self.shared.socket.local_addr() {
             Ok(std::net::SocketAddr::V4(address)) => Some(address),
@@ -186,108 +190,112 @@
         Time(0) + self.origin.elapsed()
     }
 
-    /// A worker's life. A fall is logged and counted, and it goes on: the next step starts the member anew.
+    /// Runs a worker until the stop event. A panic is logged and counted and the worker continues;
+    /// the next event restarts the state machine.
     fn run(&self) {
-        while catch_unwind(AssertUnwindSafe(|| self.work())).is_err() {
+        while catch_unwind(AssertUnwindSafe(|| self.serve_events())).is_err() {
             self.counters.panics.add();
-            tracing::error!("a worker of the fleet fell over a fault; this member starts anew");
-            let _ = self.wait_for(&mut [PollFd::new(&self.stop, PollFlags::IN)], PAUSE);
+            tracing::error!("fleet worker panicked; restarting the membership state machine");
+            let _ = self.wait_for(&mut [PollFd::new(&self.stop_event, PollFlags::IN)], ERROR_BACKOFF);
         }
     }
 
-    fn work(&self) {
+    fn serve_events(&self) {
         let mut buffer = [0; DATAGRAM_LIMIT + 1];
         loop {
-            let mut ready = [&self.stop, &self.bell].map(|fd| PollFd::new(fd, PollFlags::IN)).to_vec();
+            let mut ready =
+                [&self.stop_event, &self.command_event].map(|fd| PollFd::new(fd, PollFlags::IN)).to_vec();
             ready.push(PollFd::new(&self.socket, PollFlags::IN));
-            let sleep = Time(self.wake_at.load(Relaxed)).since(self.now()).max(SLEEP_LEAST);
+            let sleep = Time(self.wake_at.load(Relaxed)).since(self.now()).max(MIN_SLEEP);
             if self.wait_for(&mut ready, sleep).is_err() {
-                std::thread::sleep(PAUSE); // No memory for a poll: that is all it can be.
+                std::thread::sleep(ERROR_BACKOFF); // Poll can fail only for lack of memory.
             }
-            let came: Vec<bool> = ready.iter().map(|fd| !fd.revents().is_empty()).collect();
-            self.heed(came[1]);
-            if came[0] {
+            let has_events: Vec<bool> = ready.iter().map(|fd| !fd.revents().is_empty()).collect();
+            self.run_commands(has_events[1]);
+            if has_events[0] {
                 return;
             }
-            self.step(Event::Wake);
-            if came[2] {
+            self.handle_event(Event::Wake);
+            if has_events[2] {
                 self.receive(&mut buffer);
             }
         }
     }
 
-    fn wait_for(&self, fds: &mut [PollFd<'_>], most: Duration) -> io::Result<()> {
-        let most = Timespec::try_from(most.min(Duration::from_secs(3600))).unwrap_or_default();
-        match poll(fds, Some(&most)) {
+    fn wait_for(&self, fds: &mut [PollFd<'_>], max_wait: Duration) -> io::Result<()> {
+        let max_wait = Timespec::try_from(max_wait.min(Duration::from_secs(3600))).unwrap_or_default();
+        match poll(fds, Some(&max_wait)) {
             Ok(_) | Err(rustix::io::Errno::INTR) => Ok(()),
             Err(e) => Err(e.into()),
         }
     }
 
-    /// Takes the commands that wait.
-    fn heed(&self, rung: bool) {
-        if rung {
-            // Hushed first: whoever rings from here on is heard again.
-            let _ = rustix::io::read(&self.bell, &mut [0u8; 8]);
+    /// Executes the queued commands.
+    fn run_commands(&self, signalled: bool) {
+        if signalled {
+            // Cleared first, so that a command queued from here on signals it again.
+            let _ = rustix::io::read(&self.command_event, &mut [0u8; 8]);
         }
         while let Ok(command) = self.commands.try_recv() {
             match command {
-                Command::Leave => self.step(Event::Leave),
-                Command::Join => self.step(Event::Join),
+                Command::Leave => self.handle_event(Event::Leave),
+                Command::Join => self.handle_event(Event::Join),
                 #[cfg(test)]
-                Command::Fall => self.table.change(|members| ((), Some(members.fall()))),
+                Command::Panic => self.table.change(|members| ((), Some(members.panic_for_test()))),
             }
         }
     }
 
-    /// Reads what has come, a batch at most.
+    /// Reads the datagrams available, at most one batch.
     fn receive(&self, buffer: &mut [u8]) {
         let mut failed = 0;
-        for _ in 0..BATCH {
+        for _ in 0..RECEIVE_BATCH {
             match self.socket.recv_from(buffer) {
                 Ok((length, from)) => match self.seal.open(&buffer[..length]) {
                     Ok(packet) => {
                         self.counters.taken.add();
-                        self.step(Event::Packet(&packet));
+                        self.handle_event(Event::Packet(&packet));
                     }
                     Err(refusal) => {
                         self.counters.refused[refusal as usize].add();
-                        tracing::warn!(%from, reason = refusal.word(), "a datagram was refused");
+                        tracing::warn!(%from, reason = refusal.word(), "datagram rejected");
                     }
                 },
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => {
-                    // Mostly word that nobody listens where we sent to; each is given once.
+                    // Usually the report that no process listens at an address sent to; each is
+                    // delivered once.
                     failed += 1;
                     self.counters.receive_failed.add();
-                    tracing::debug!(%e, "nothing received");
+                    tracing::debug!(%e, "failed to receive a datagram");
                 }
             }
         }
-        if failed == BATCH {
-            let _ = self.wait_for(&mut [PollFd::new(&self.stop, PollFlags::IN)], PAUSE);
+        if failed == RECEIVE_BATCH {
+            let _ = self.wait_for(&mut [PollFd::new(&self.stop_event, PollFlags::IN)], ERROR_BACKOFF);
         }
     }
 
-    /// One step of the plane under the members' lock, and after it what there is to send.
-    fn step(&self, event: Event<'_>) {
-        let (now, mut to_do) = (self.now(), Vec::new());
+    /// Passes one event to the state machine under the members lock, then sends the resulting
+    /// packets without it.
+    fn handle_event(&self, event: Event<'_>) {
+        let (now, mut actions) = (self.now(), Vec::new());
         if matches!(event, Event::Wake) && now < Time(self.wake_at.load(Relaxed)) {
             return;
         }
         self.table.change(|members: &mut Members| {
-            let snapshot = members.step(now, event, &mut to_do);
+            let snapshot = members.handle(now, event, &mut actions);
             self.wake_at.store(members.wake_at.0, Relaxed);
             ((), snapshot)
         });
         assert_none_held();
-        for action in to_do {
+        for action in actions {
             let Action::Send { to, packet } = action else { continue };
-            if let Err(why) = self.send(to, &packet)
-                && is_of_this_process(&why)
+            if let Err(error) = self.send(to, &packet)
+                && is_local_failure(&error)
             {
-                self.step(Event::NotSent(&packet));
+                self.handle_event(Event::NotSent(&packet));
             }
         }
     }
@@ -302,15 +310,15 @@
             Ok(_) => self.counters.sent.add(),
             Err(e) => {
                 self.counters.send_failed.add();
-                tracing::debug!(%to, %e, "not sent");
+                tracing::debug!(%to, %e, "failed to send a datagram");
             }
         }
         sent.map(drop)
     }
 }
 
-/// Whether a datagram was not sent for want of a buffer, memory or route here, rather than for what the other side, or the
-/// way to it, said before.
-fn is_of_this_process(why: &io::Error) -> bool {
-    !matches!(why.kind(), ErrorKind::ConnectionRefused | ErrorKind::HostUnreachable | ErrorKind::TimedOut)
+/// Whether a send failed because of this process (no buffer, memory or route), not because of an
+/// error that the peer or the path to it caused earlier.
+fn is_local_failure(error: &io::Error) -> bool {
+    !matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::HostUnreachable | ErrorKind::TimedOut)
 }
--- a/crates/mesh/src/seal.rs
+++ b/crates/mesh/src/seal.rs
@@ -1,9 +1,11 @@
-//! The seal: packets to datagrams and back. It proves that a packet comes from one who holds a key of the cluster;
-//! it hides nothing. It holds no state, so a replayed datagram opens again: the planes bear that.
+//! The seal: conversion of packets to datagrams and back. It proves that a packet comes from a
+//! holder of a cluster key and encrypts nothing. It is stateless, so replayed datagrams are
+//! accepted; the protocols on top have to tolerate them.
 //!
-//! A datagram is a version byte, the cluster (XXH3 of its name), HMAC-SHA256 over version, cluster and payload, cut
-//! to 16 bytes (RFC 2104, section 5: not under half of the hash), and the payload: the packet by postcard. Nothing is
-//! read from the payload before the seal is found right.
+//! A datagram consists of a version byte, the cluster (XXH3 of its name), HMAC-SHA256 over version,
+//! cluster and payload, truncated to 16 bytes (RFC 2104, section 5: no less than half of the hash),
+//! and the payload: the packet encoded by postcard. The payload is not parsed until the seal has
+//! been verified.
 
 use cottonpoint_peers::{PACKET_LIMIT, Packet, SEAL_ROOM};
 use hmac::{Hmac, KeyInit, Mac};
@@ -12,39 +14,40 @@
 use std::ops::RangeInclusive;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The longest datagram: the longest packet that a plane makes, and the seal.
+/// The longest datagram: the longest packet of the protocol plus the seal.
 pub const DATAGRAM_LIMIT: usize = PACKET_LIMIT - SEAL_ROOM + SEAL_LENGTH;
-/// What the seal adds to a packet.
+/// The bytes that the seal adds to a packet.
 pub const SEAL_LENGTH: usize = MAC.end;
-/// How long a key may be, in bytes: 128 bits of chance are the least that a sealed message rests on (RFC 2104 asks
-/// for no less than the hash, which operators' tools write as 32 bytes); past a kilobyte it is the wrong file.
+/// Permitted key lengths in bytes: a message authentication code needs at least 128 random bits
+/// (RFC 2104 recommends no less than the length of the hash, which operators' tools write as 32
+/// bytes); more than a kilobyte indicates the wrong file.
 pub const KEY_LENGTH: RangeInclusive<usize> = 16..=1024;
-/// Version 1: SWIM packets by postcard.
+/// Version 1: SWIM packets encoded by postcard.
 const VERSION: u8 = 1;
 const CLUSTER: std::ops::Range<usize> = 1..9;
 const MAC: std::ops::Range<usize> = 9..25;
 
-/// Why a datagram was refused.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// Longer than [`DATAGRAM_LIMIT`].
     TooLong,
-    /// Of another version, or empty.
+    /// Another version, or an empty datagram.
     Version,
-    /// Of another cluster.
+    /// Another cluster.
     Cluster,
-    /// No key of ours signed it, or it was changed on its way.
+    /// Not signed with any of the keys, or modified in transit.
     Key,
-    /// Too short for a seal, or the payload is no packet, or bytes follow it.
+    /// Too short for a seal, or the payload is not a packet, or bytes follow the packet.
     Garbage,
 }
 
 impl Refusal {
-    /// All of them, in the order in which they are looked for.
+    /// All reasons, in the order in which they are checked.
     pub const ALL: [Refusal; 5] =
         [Refusal::TooLong, Refusal::Version, Refusal::Cluster, Refusal::Key, Refusal::Garbage];
 
-    /// The word for it in figures and logs.
+    /// The label of this reason in metrics and logs.
     pub fn word(self) -> &'static str {
         match self {
             Refusal::TooLong => "too_long",
@@ -56,12 +59,12 @@
     }
 }
 
-/// A key of the cluster. It is never printed.
+/// A cluster key. Its bytes are never printed.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key(Vec<u8>);
 
 impl Key {
-    /// A key of these bytes, if their number is within [`KEY_LENGTH`].
+    /// Creates a key, if the number of bytes is within [`KEY_LENGTH`].
     pub fn new(bytes: &[u8]) -> Option<Key> {
         KEY_LENGTH.contains(&bytes.len()).then(|| Key(bytes.to_vec()))
     }
@@ -73,19 +76,19 @@
     }
 }
 
-/// The seal of one cluster.
+/// Seals and opens the datagrams of one cluster.
 #[derive(Clone)]
 pub struct Seal {
     cluster: [u8; 8],
-    /// Each as far as a message has no part in it.
+    /// The HMAC states after keying, before any message.
     keys: Vec<Hmac<Sha256>>,
 }
 
 impl Seal {
-    /// The seal of a cluster by its name. The first key signs, any is taken, so that keys can change in a running
-    /// fleet. Without keys it seals nothing and refuses all.
+    /// Creates the seal of a cluster. The first key signs and all are accepted, so that keys can be
+    /// rotated in a running fleet. Without keys it seals nothing and rejects everything.
     pub fn new(cluster: &str, keys: &[Key]) -> Seal {
-        // A key of any length makes an HMAC: none is left out.
+        // HMAC accepts keys of any length, so none is left out.
         let keys = keys.iter().filter_map(|key| Hmac::<Sha256>::new_from_slice(&key.0).ok()).collect();
         Seal { cluster: xxh3_64(cluster.as_bytes()).to_be_bytes(), keys }
     }
@@ -102,8 +105,9 @@
         Some(datagram)
     }
 
-    /// The packet in a datagram. Memory is bounded by the datagram: a length that the payload claims beyond its own
-    /// bytes is refused (text) or allocated for only as far as elements are read (lists).
+    /// Verifies a datagram and returns its packet. Memory use is bounded by the datagram: a length
+    /// in the payload that exceeds the bytes present is rejected (strings), or memory is allocated
+    /// only as elements are read (lists).
     pub fn open(&self, datagram: &[u8]) -> Result<Packet, Refusal> {
         if datagram.len() > DATAGRAM_LIMIT {
             return Err(Refusal::TooLong);
@@ -117,9 +121,9 @@
         if datagram[CLUSTER] != self.cluster {
             return Err(Refusal::Cluster);
         }
-        // Compared in constant time, so that the time taken tells nothing of the right seal.
-        let right = |key| self.mac(key, datagram).verify_truncated_left(&datagram[MAC]).is_ok();
-        if !self.keys.iter().any(right) {
+        // Compared in constant time, so that the duration reveals nothing about the valid seal.
+        let valid = |key| self.mac(key, datagram).verify_truncated_left(&datagram[MAC]).is_ok();
+        if !self.keys.iter().any(valid) {
             return Err(Refusal::Key);
         }
         match postcard::take_from_bytes(&datagram[SEAL_LENGTH..]) {
@@ -128,7 +132,7 @@
         }
     }
 
-    /// The HMAC over all of a datagram but the HMAC itself.
+    /// The HMAC over a datagram except for the HMAC itself.
     fn mac(&self, key: &Hmac<Sha256>, datagram: &[u8]) -> Hmac<Sha256> {
         let mut mac = key.clone();
         mac.update(&datagram[..CLUSTER.end]);
@@ -148,9 +152,10 @@
         Key::new(&[byte; 32]).expect("long enough")
     }
 
-    /// Guards against: a packet that does not come back as it was; one spoilt anywhere that is taken; a panic on it.
+    /// Guards against a packet that changes in a round trip, a datagram that is accepted though
+    /// corrupted, and a panic on one.
     #[test]
-    fn a_packet_comes_back_whole_or_not_at_all() {
+    fn packet_survives_a_round_trip_and_corruption_is_rejected() {
         let seal = Seal::new("fleet", &[key(1)]);
         let sent = packet(3);
         let datagram = seal.seal(&sent).expect("short enough");
@@ -167,14 +172,14 @@
         }
     }
 
-    /// Guards against: a plane that fills its packets beyond what a datagram carries, seal and all.
+    /// Guards against protocol packets that exceed a datagram once sealed.
     #[test]
-    fn the_fullest_packet_of_a_plane_fits() {
+    fn largest_protocol_packet_fits_a_datagram() {
         let length = |packet: &Packet| postcard::to_allocvec(packet).expect("memory").len();
-        let room = PACKET_LIMIT - SEAL_ROOM;
-        let most = (1..).take_while(|&n| length(&packet(n)) <= room).last();
-        let mut full = packet(most.expect("room for one"));
-        while length(&full) < room {
+        let space = PACKET_LIMIT - SEAL_ROOM;
+        let most = (1..).take_while(|&n| length(&packet(n)) <= space).last();
+        let mut full = packet(most.expect("space for one"));
+        while length(&full) < space {
             let short = full.updates.iter_mut().find(|update| update.name.len() < NAME_LIMIT);
             short.expect("a name to lengthen").name.push('x');
         }
@@ -184,10 +189,10 @@
         assert_eq!(seal.open(&datagram), Ok(full));
     }
 
-    /// Guards against: bytes behind a packet that travel along unseen, and a claimed length that is believed, both
-    /// under a right seal; and a datagram too long for a path.
+    /// Guards against trailing bytes that go unnoticed and a claimed length that is trusted, both
+    /// under a valid seal, and against a datagram too long for the path.
     #[test]
-    fn garbage_under_a_right_seal_is_refused() {
+    fn garbage_under_a_valid_seal_is_rejected() {
         let seal = Seal::new("fleet", &[key(1)]);
         let signed = |payload: &[u8]| {
             let mut datagram = [&[VERSION][..], &seal.cluster, &[0; 16], payload].concat();
@@ -198,7 +203,7 @@
         let payload = postcard::to_allocvec(&packet(1)).expect("memory");
         assert_eq!(signed(&payload), Ok(packet(1)));
         assert_eq!(signed(&[&payload[..], &[0]].concat()), Err(Refusal::Garbage));
-        // The count of updates stands last where there are none: claim the most that can be claimed.
+        // Without updates, their count comes last: claim the highest count possible.
         let mut claims = postcard::to_allocvec(&packet(0)).expect("memory");
         assert_eq!(claims.pop(), Some(0));
         claims.extend([0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01]);
@@ -207,9 +212,10 @@
         assert_eq!(seal.seal(&packet(100)), None, "too long to send");
     }
 
-    /// Guards against: a key that cannot be changed while the fleet runs, and a stranger's packet taken.
+    /// Guards against keys that cannot be rotated while the fleet runs, and an accepted packet of a
+    /// stranger.
     #[test]
-    fn any_key_is_taken_the_first_signs_and_strangers_are_refused() {
+    fn all_keys_are_accepted_the_first_signs_and_strangers_are_rejected() {
         let (old, new) = (Seal::new("fleet", &[key(1)]), Seal::new("fleet", &[key(2)]));
         let both = Seal::new("fleet", &[key(2), key(1)]);
         let from = |seal: &Seal| seal.seal(&packet(1)).expect("short enough");
@@ -217,7 +223,7 @@
         assert!(new.open(&from(&both)).is_ok());
         assert_eq!(old.open(&from(&both)), Err(Refusal::Key));
         assert_eq!(Seal::new("other", &[key(1)]).open(&from(&old)), Err(Refusal::Cluster));
-        // One of another cluster under the same key, with our cluster written over it.
+        // A datagram of another cluster under the same key, with this cluster written over it.
         let mut relabelled = from(&Seal::new("other", &[key(1)]));
         relabelled[CLUSTER].copy_from_slice(&old.cluster);
         assert_eq!(old.open(&relabelled), Err(Refusal::Key));
@@ -227,15 +233,16 @@
     }
 
     proptest! {
-        /// Guards against: a panic on bytes that anyone may send, sealed or not.
+        /// Guards against a panic on arbitrary bytes, with or without a valid seal.
         #[test]
-        fn random_bytes_are_refused(bytes in prop::collection::vec(any::<u8>(), 0..1300), ours in any::<bool>()) {
+        fn random_bytes_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..1300), with_valid_seal in any::<bool>()) {
             let seal = Seal::new("fleet", &[key(1)]);
             let mut bytes = bytes;
-            if ours && bytes.len() >= SEAL_LENGTH {
+            if with_valid_seal && bytes.len() >= SEAL_LENGTH {
                 bytes[0] = VERSION;
                 bytes[CLUSTER].copy_from_slice(&seal.cluster);
-                // Under a right seal they are read as a packet: refused, or one that can be sealed again.
+                // Under a valid seal the bytes are parsed as a packet: either that fails, or the
+                // packet can be sealed again.
                 let mac = seal.mac(&seal.keys[0], &bytes).finalize().into_bytes();
                 bytes[MAC].copy_from_slice(&mac[..16]);
                 if let Ok(packet) = seal.open(&bytes) {
--- a/crates/mesh/src/tables.rs
+++ b/crates/mesh/src/tables.rs
@@ -1,91 +1,93 @@
-//! The tables that workers share. **The order of their locks**, from the first taken to the last:
+//! The tables shared by the workers. **The order of their locks**, from the first locked to the last:
 //!
-//! | rank | table | what it holds |
+//! | rank | table | content |
 //! | --- | --- | --- |
-//! | 1 | members | the plane of `cottonpoint-peers` |
-//! | 2 | throughput | (to come) what each target gets done |
-//! | 3 | pressure | (to come) how loaded the cluster is |
-//! | 4 | plans | (to come) the plan table |
-//! | 5 | memory | (to come) what is to be kept on disk |
+//! | 1 | members | the state machine of `cottonpoint-peers` |
+//! | 2 | throughput | (planned) the throughput of each endpoint |
+//! | 3 | pressure | (planned) the load of the cluster |
+//! | 4 | plans | (planned) the plan table |
+//! | 5 | memory | (planned) state to be persisted |
 //!
-//! A thread that holds one may take those below it only ([`Ranked`] sees to that in debug builds), and none is held
-//! over I/O: what is to be sent is gathered under the lock and sent after it.
+//! A thread that holds one of these locks may lock only those below it in the table ([`RankedMutex`] checks this in
+//! debug builds), and holds none during I/O: packets to send are collected under the lock and sent after it.
 //!
-//! Each table is changed under its lock and published as a whole snapshot **before the lock is let go of**: so
-//! snapshots come out in the order of the changes, a reader never sees one go back, and of two workers the later one's
-//! stays. Readers take no lock. `tests/loom.rs` runs this very code through all interleavings, with loom's lock, and
-//! for `arc-swap` a cell that swaps whole values in one step; that `arc-swap` does so is taken on trust.
+//! Each table is changed under its lock and published as a whole snapshot **before the lock is released**. So
+//! snapshots are published in the order of the changes, a reader never sees a table go back, and of two workers
+//! the later one's snapshot remains. Readers take no lock. `tests/loom.rs` runs this code under all thread
+//! interleavings, with loom's lock and, instead of `arc-swap`, a cell that replaces the whole value atomically;
+//! that `arc-swap` does the same is assumed.
 
-use crate::lock::{Rank, Ranked};
+use crate::lock::{Rank, RankedMutex};
 use arc_swap::ArcSwap;
 use std::sync::Arc;
 
-/// The members' table: the first in the order.
+/// The rank of the member table's lock, the first in the order.
 pub const MEMBERS: Rank = Rank { order: 1, name: "members" };
 
 /// A lock around a value.
-pub trait Guard<T> {
-    /// Runs `f` on the value under the lock.
+pub trait StateLock<T> {
+    /// Calls `f` with the value while holding the lock.
     fn with<R>(&self, f: impl FnOnce(&mut T) -> R) -> R;
 }
 
-/// A place for the newest snapshot, swapped whole.
-pub trait Board<S> {
-    /// Puts a snapshot in the place of the last one.
-    fn put(&self, snapshot: Arc<S>);
-    /// The newest snapshot.
-    fn get(&self) -> Arc<S>;
+/// A cell for the latest snapshot, which is replaced atomically.
+pub trait SnapshotCell<S> {
+    /// Replaces the snapshot.
+    fn publish(&self, snapshot: Arc<S>);
+    /// The latest snapshot.
+    fn latest(&self) -> Arc<S>;
 }
 
-impl<T> Guard<T> for Ranked<T> {
+impl<T> StateLock<T> for RankedMutex<T> {
     fn with<R>(&self, f: impl FnOnce(&mut T) -> R) -> R {
         f(&mut self.lock())
     }
 }
 
-impl<S> Board<S> for ArcSwap<S> {
-    fn put(&self, snapshot: Arc<S>) {
+impl<S> SnapshotCell<S> for ArcSwap<S> {
+    fn publish(&self, snapshot: Arc<S>) {
         self.store(snapshot);
     }
 
-    fn get(&self) -> Arc<S> {
+    fn latest(&self) -> Arc<S> {
         self.load_full()
     }
 }
 
-/// A table: its state under a lock, and the newest snapshot for whoever reads.
+/// A table: its state under a lock, and the latest snapshot for readers.
 #[derive(Debug)]
-pub struct Table<G, B> {
-    guard: G,
-    board: B,
+pub struct Table<L, C> {
+    lock: L,
+    cell: C,
 }
 
-impl<G, B> Table<G, B> {
-    /// A table whose first snapshot is on the board already.
-    pub fn new(guard: G, board: B) -> Table<G, B> {
-        Table { guard, board }
+impl<L, C> Table<L, C> {
+    /// Creates a table from its locked state and a cell with its first snapshot.
+    pub fn new(lock: L, cell: C) -> Table<L, C> {
+        Table { lock, cell }
     }
 
-    /// Changes the state; the snapshot that `f` gives, if any, is published under the same lock.
+    /// Changes the state. The snapshot returned by `f`, if any, is published before the lock is
+    /// released.
     pub fn change<T, S, R>(&self, f: impl FnOnce(&mut T) -> (R, Option<S>)) -> R
     where
-        G: Guard<T>,
-        B: Board<S>,
+        L: StateLock<T>,
+        C: SnapshotCell<S>,
     {
-        self.guard.with(|state| {
+        self.lock.with(|state| {
             let (result, snapshot) = f(state);
             if let Some(snapshot) = snapshot {
-                self.board.put(Arc::new(snapshot));
+                self.cell.publish(Arc::new(snapshot));
             }
             result
         })
     }
 
-    /// The newest snapshot, without a lock.
+    /// The latest snapshot, read without a lock.
     pub fn read<S>(&self) -> Arc<S>
     where
-        B: Board<S>,
+        C: SnapshotCell<S>,
     {
-        self.board.get()
+        self.cell.latest()
     }
 }
--- a/crates/mesh/src/tests.rs
+++ b/crates/mesh/src/tests.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// Longer than any wait here takes unless a test fails.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 /// A packet with updates about that many members.
 pub(crate) fn packet(updates: u64) -> Packet {
@@ -44,7 +44,7 @@
     };
     let keys = vec![Key::new(&[key; 32]).expect("long enough")];
     let mesh = Mesh::start(socket, Settings { peers, cluster: "test".to_owned(), keys, workers: 2 });
-    let mesh = mesh.expect("it starts");
+    let mesh = mesh.expect("the mesh starts");
     let handle = mesh.handle();
     (mesh, handle, address)
 }
@@ -52,7 +52,7 @@
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "{what} did not come");
+        assert!(start.elapsed() < WAIT_LIMIT, "timed out waiting for {what}");
         std::thread::yield_now();
     }
 }
@@ -66,7 +66,7 @@
 /// Guards against members that don't find each other, a leave that is not received, commands that
 /// are lost when the mesh stops, and workers that don't end.
 #[test]
-fn members_meet_leave_and_come_back() {
+fn members_meet_leave_and_rejoin() {
     let (first, one, seed) = start("one", &[], 1);
     let (second, two, _) = start("two", &[seed], 1);
     wait_until("the meeting", || {
@@ -75,13 +75,13 @@
     });
     let before = one.snapshot().view.version;
     two.tell(Command::Leave);
-    wait_until("the goodbye", || standing(&one, "two") == Some(Standing::Left));
+    wait_until("the leave", || standing(&one, "two") == Some(Standing::Left));
     assert!(one.snapshot().view.version > before);
     two.tell(Command::Join);
-    wait_until("the return", || standing(&one, "two") == Some(Standing::Reachable));
+    wait_until("the rejoin", || standing(&one, "two") == Some(Standing::Reachable));
     two.tell(Command::Leave);
     drop(second);
-    wait_until("the last goodbye", || standing(&one, "two") == Some(Standing::Left));
+    wait_until("the last leave", || standing(&one, "two") == Some(Standing::Left));
     drop(first);
     assert_eq!((one.figures().panics, one.figures().too_long), (0, 0));
 }
@@ -89,10 +89,10 @@
 /// Guards against a stranger that is accepted, or rejected without being counted; an unreachable
 /// peer that is treated as a bug; and a worker that spins because of it.
 #[test]
-fn strangers_garbage_and_dead_peers_are_counted_and_do_no_harm() {
-    let (gone, nobody) = bound();
-    drop(gone);
-    let (_mesh, one, address) = start("one", &[nobody], 1);
+fn strangers_garbage_and_unreachable_peers_are_counted_and_harmless() {
+    let (unused, unreachable) = bound();
+    drop(unused);
+    let (_mesh, one, address) = start("one", &[unreachable], 1);
     let (_other, other, _) = start("other", &[address], 2);
     let (socket, _) = bound();
     let send = |bytes: &[u8]| assert_eq!(socket.send_to(bytes, address).ok(), Some(bytes.len()));
@@ -119,7 +119,7 @@
 /// Guards against a panic in the state machine that silently ends the membership, and a member that
 /// after it is considered dead by others or whose view goes back.
 #[test]
-fn a_worker_that_falls_is_counted_and_the_member_starts_anew() {
+fn worker_panic_is_counted_and_the_member_restarts() {
     let (_first, one, seed) = start("one", &[], 1);
     let (_second, two, _) = start("two", &[seed], 1);
     let met = |handle: &Handle, name| standing(handle, name) == Some(Standing::Reachable);
@@ -131,8 +131,8 @@
         member.map(|member| member.news.boot)
     };
     let first_boot = boot(&one, "two");
-    two.tell(Command::Fall);
-    wait_until("the new life", || boot(&one, "two") != first_boot && met(&one, "two") && met(&two, "one"));
+    two.tell(Command::Panic);
+    wait_until("the restart", || boot(&one, "two") != first_boot && met(&one, "two") && met(&two, "one"));
     wait_until("the count", || two.figures().panics == 1);
     assert!(two.snapshot().view.version > before);
 }
@@ -140,9 +140,9 @@
 /// Guards against an event loop that waits for slow workers, and commands dropped without being
 /// counted.
 #[test]
-fn words_that_find_no_room_are_counted() {
+fn commands_that_do_not_fit_the_queue_are_counted() {
     let (mesh, one, _) = start("one", &[], 1);
-    drop(mesh); // Nobody takes them any more.
+    drop(mesh); // No worker takes commands any more.
     for _ in 0..100 {
         one.tell(Command::Join);
     }
