--- a/crates/lab/src/fleet/disabled.rs
+++ b/crates/lab/src/fleet/disabled.rs
@@ -1,7 +1,7 @@
 //! Parts of the plane disabled from the outside: what it sends or is given is kept from it, so that a claim that
 //! rests on that part has to fail.
 
-use cottonpoint_peers::{Body, MemberId, Packet, Standing};
+use cottonpoint_peers::{Body, MemberId, MemberState, Packet};
 
 /// The part of the plane that is disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,13 +21,11 @@
 
 impl Disabled {
     /// Whether a packet is kept from being sent, by the standing in which its sender holds the receiver.
-    pub fn drops(self, packet: &Packet, held: Option<Standing>) -> bool {
+    pub fn drops(self, packet: &Packet, held: Option<MemberState>) -> bool {
         match self {
             Disabled::Indirect => matches!(packet.body, Body::PingFor { .. }),
             Disabled::Exchange => matches!(packet.body, Body::Known),
-            Disabled::Knocks => {
-                matches!(packet.body, Body::Ping { .. }) && held == Some(Standing::LastKnown)
-            }
+            Disabled::Knocks => matches!(packet.body, Body::Ping { .. }) && held == Some(MemberState::Dead),
             Disabled::Refutation | Disabled::Lateness => false,
         }
     }
--- a/crates/lab/src/fleet/inspect.rs
+++ b/crates/lab/src/fleet/inspect.rs
@@ -5,7 +5,7 @@
 use super::setup::{PacketCounts, Setup};
 use super::world::Fleet;
 use crate::rig::links::Links;
-use cottonpoint_peers::{Counts, Part, Standing, View};
+use cottonpoint_peers::{Counts, MemberState, Part, View};
 use std::cmp::Reverse;
 
 impl Fleet {
@@ -79,7 +79,7 @@
         let boots: Vec<_> = (0..self.hosts.len()).map(|i| self.boot(i)).collect();
         let running = (0..self.hosts.len()).filter(|i| self.runs(*i));
         let wrong = |held: &Held, boot: &Option<u64>| match boot {
-            Some(boot) => held.standing != Some(Standing::Reachable) || held.boot != *boot,
+            Some(boot) => held.standing != Some(MemberState::Reachable) || held.boot != *boot,
             None => held.alive(),
         };
         running.map(move |i| self.held(i).iter().zip(&boots).filter(|(h, b)| wrong(h, b)).count())
--- a/crates/lab/src/fleet/log.rs
+++ b/crates/lab/src/fleet/log.rs
@@ -1,12 +1,12 @@
 //! What members held of each other, change by change.
 
-use cottonpoint_peers::{Part, Standing};
+use cottonpoint_peers::{MemberState, Part};
 
 /// What one member holds of another; standing `None` is one that it does not know.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Held {
     /// How it stands.
-    pub standing: Option<Standing>,
+    pub standing: Option<MemberState>,
     /// Its incarnation.
     pub incarnation: u64,
     /// Its process.
@@ -16,12 +16,12 @@
 impl Held {
     /// Whether it is held as one that answers, or may.
     pub fn alive(&self) -> bool {
-        matches!(self.standing, Some(Standing::Reachable | Standing::Suspected))
+        matches!(self.standing, Some(MemberState::Reachable | MemberState::Suspected))
     }
 
     /// Whether it is held dead: last known, though it did not say goodbye.
     pub fn dead(&self) -> bool {
-        self.standing == Some(Standing::LastKnown)
+        self.standing == Some(MemberState::Dead)
     }
 }
 
--- a/crates/lab/src/fleet/plays.rs
+++ b/crates/lab/src/fleet/plays.rs
@@ -5,7 +5,7 @@
 use super::{Disabled, Fleet};
 use crate::draw::{Draw, Purpose};
 use crate::rig::links::{Change, Faults};
-use cottonpoint_peers::{Part, Standing, bounds};
+use cottonpoint_peers::{MemberState, Part, bounds};
 use std::time::Duration;
 
 /// The period of all plays, in nanoseconds.
@@ -246,7 +246,7 @@
 }
 
 /// What each member holds of each in the end: how it stands, and its process.
-type Views = Vec<Vec<(Option<Standing>, u64)>>;
+type Views = Vec<Vec<(Option<MemberState>, u64)>>;
 
 /// A crash, a restart, a process that stands still, a goodbye, a split and its heal, with a share of all packets sent
 /// again after a time: all views in the end, and the longest time for which a member was held dead to which nothing was
--- a/crates/lab/src/fleet/world.rs
+++ b/crates/lab/src/fleet/world.rs
@@ -290,7 +290,7 @@
             if let Some(of) = self.by_id.get(&member.news.id) {
                 let news = &member.news;
                 holds[*of] =
-                    Held { standing: Some(news.standing), incarnation: news.incarnation, boot: news.boot };
+                    Held { standing: Some(news.state), incarnation: news.incarnation, boot: news.boot };
             }
         }
         holds
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 use cottonpoint_lab::fleet::{Do, Fleet, SOCKET_HOLDS, Setup};
 use cottonpoint_lab::rig::links::{Change, Faults};
-use cottonpoint_peers::{PACKET_LIMIT, Standing};
+use cottonpoint_peers::{MemberState, PACKET_LIMIT};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -101,7 +101,7 @@
     assert_eq!((still, fleet.sent(4)), (delivered, sent), "it stands still");
     assert!(waiting <= SOCKET_HOLDS as u64 + 4 && waiting >= SOCKET_HOLDS as u64, "{waiting} wait");
     assert!(more > overflowed);
-    assert_eq!(fleet.held(0)[4].standing, Some(Standing::LastKnown));
+    assert_eq!(fleet.held(0)[4].standing, Some(MemberState::Dead));
     fleet.at(fleet.now(), Do::Resume(4));
     fleet.run(fleet.now());
     assert!(to_last(&fleet).0 >= still + SOCKET_HOLDS as u64, "all that waited is given at once");
--- a/crates/mesh/src/members.rs
+++ b/crates/mesh/src/members.rs
@@ -142,6 +142,6 @@
         assert!(after.version > before.version, "{} after {}", after.version, before.version);
         assert!(after.incarnation > before.incarnation);
         let me = after.members.iter().find(|member| member.news.id == after.me).expect("this member");
-        assert_eq!(me.news.standing, cottonpoint_peers::Standing::Left);
+        assert_eq!(me.news.state, cottonpoint_peers::MemberState::Left);
     }
 }
--- a/crates/mesh/src/tests.rs
+++ b/crates/mesh/src/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::seal::{Key, Seal};
 use crate::{Command, Handle, Mesh, Settings, id_of};
-use cottonpoint_peers::{Body, Packet, Standing, Update};
+use cottonpoint_peers::{Body, MemberState, Packet, Update};
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
 use std::time::{Duration, Instant};
 
@@ -17,7 +17,7 @@
         address: SocketAddrV4::new([127, 0, 0, 1].into(), 7000),
         incarnation: 1 + n,
         boot: n << 40,
-        standing: Standing::Reachable,
+        state: MemberState::Reachable,
         by: id_of("member-0"),
     };
     let nonce = 7;
@@ -57,10 +57,10 @@
     }
 }
 
-fn standing(handle: &Handle, name: &str) -> Option<Standing> {
+fn state(handle: &Handle, name: &str) -> Option<MemberState> {
     let snapshot = handle.snapshot();
     let member = snapshot.view.members.iter().find(|member| member.news.id == id_of(name));
-    member.map(|member| member.news.standing)
+    member.map(|member| member.news.state)
 }
 
 /// Guards against members that don't find each other, a leave that is not received, commands that
@@ -70,18 +70,18 @@
     let (first, one, seed) = start("one", &[], 1);
     let (second, two, _) = start("two", &[seed], 1);
     wait_until("the meeting", || {
-        standing(&one, "two") == Some(Standing::Reachable)
-            && standing(&two, "one") == Some(Standing::Reachable)
+        state(&one, "two") == Some(MemberState::Reachable)
+            && state(&two, "one") == Some(MemberState::Reachable)
     });
     let before = one.snapshot().view.version;
     two.tell(Command::Leave);
-    wait_until("the leave", || standing(&one, "two") == Some(Standing::Left));
+    wait_until("the leave", || state(&one, "two") == Some(MemberState::Left));
     assert!(one.snapshot().view.version > before);
     two.tell(Command::Join);
-    wait_until("the rejoin", || standing(&one, "two") == Some(Standing::Reachable));
+    wait_until("the rejoin", || state(&one, "two") == Some(MemberState::Reachable));
     two.tell(Command::Leave);
     drop(second);
-    wait_until("the last leave", || standing(&one, "two") == Some(Standing::Left));
+    wait_until("the last leave", || state(&one, "two") == Some(MemberState::Left));
     drop(first);
     assert_eq!((one.figures().panics, one.figures().too_long), (0, 0));
 }
@@ -110,8 +110,8 @@
         let refused = one.figures().refused;
         refused[..3] == [1, 2, 1] && refused[3] >= 1 && refused[4] == 1
     });
-    assert_eq!(standing(&one, "other"), None);
-    assert_eq!(standing(&other, "one"), None);
+    assert_eq!(state(&one, "other"), None);
+    assert_eq!(state(&other, "one"), None);
     assert_eq!(one.figures().taken, 0);
     assert_eq!(one.figures().panics, 0);
 }
@@ -122,7 +122,7 @@
 fn worker_panic_is_counted_and_the_member_restarts() {
     let (_first, one, seed) = start("one", &[], 1);
     let (_second, two, _) = start("two", &[seed], 1);
-    let met = |handle: &Handle, name| standing(handle, name) == Some(Standing::Reachable);
+    let met = |handle: &Handle, name| state(handle, name) == Some(MemberState::Reachable);
     wait_until("the meeting", || met(&one, "two") && met(&two, "one"));
     let before = two.snapshot().view.version;
     let boot = |handle: &Handle, name: &str| {
--- a/crates/peers/src/interface.rs
+++ b/crates/peers/src/interface.rs
@@ -52,14 +52,14 @@
 /// The state of a member as another one sees it. The order matters: at the same incarnation the
 /// later state overrides the earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberState {
     /// It answers probes.
     Reachable,
     /// It has not answered a probe; it may still refute the suspicion.
     Suspected,
-    /// It did not refute a suspicion in time. The last known details of it are kept; this is SWIM's
-    /// "confirmed faulty".
-    LastKnown,
+    /// It did not refute a suspicion in time (SWIM's "confirmed faulty"). Its last known details are
+    /// kept, and operators see it as `last-known`.
+    Dead,
     /// It left the fleet on its own account.
     Left,
 }
@@ -79,7 +79,7 @@
     /// The random number that the member's process drew at its start.
     pub boot: u64,
     /// The state of the member.
-    pub standing: Standing,
+    pub state: MemberState,
     /// The member that reported this: for a suspicion the member whose own probe went unanswered,
     /// otherwise (and where that is not known) the subject itself. It distinguishes independent
     /// suspicions from a suspicion that was passed on.
--- a/crates/peers/src/packets.rs
+++ b/crates/peers/src/packets.rs
@@ -3,7 +3,7 @@
 use crate::bounds;
 use crate::gossip::Choice;
 use crate::interface::{
-    Action, Body, MemberId, PACKET_LIMIT, Packet, SEAL_ROOM, Standing, UPDATES_LIMIT, Update,
+    Action, Body, MemberId, MemberState, PACKET_LIMIT, Packet, SEAL_ROOM, UPDATES_LIMIT, Update,
 };
 use crate::state::Peers;
 use serde::Serialize;
@@ -74,7 +74,7 @@
     pub(crate) fn send_to(&mut self, id: MemberId, body: Body, actions: &mut Vec<Action>) {
         let Some(held) = self.table.get(id).cloned() else { return };
         let to = held.address;
-        let first = Some(held).filter(|held| held.standing != Standing::Reachable);
+        let first = Some(held).filter(|held| held.state != MemberState::Reachable);
         self.send_with(to, Some(id), first, body, actions);
     }
 
@@ -143,7 +143,7 @@
 
     /// Sends one round of leave messages to random members.
     pub(crate) fn send_leave_round(&mut self, actions: &mut Vec<Action>) {
-        let mut all = self.table.ids_in_state(Standing::is_alive);
+        let mut all = self.table.ids_in_state(MemberState::is_alive);
         self.random.shuffle(&mut all);
         for id in all.into_iter().take(LEAVE_FANOUT) {
             self.send_to(id, Body::Leave, actions);
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -2,7 +2,9 @@
 //! does.
 
 use crate::gossip::Gossip;
-use crate::interface::{Action, Counts, Event, Member, NAME_LIMIT, Part, Settings, Standing, Update, View};
+use crate::interface::{
+    Action, Counts, Event, Member, MemberState, NAME_LIMIT, Part, Settings, Update, View,
+};
 use crate::random::Random;
 use crate::state::{LocalMember, Peers, SyncState, Version};
 use crate::table::Table;
@@ -36,7 +38,7 @@
             address: settings.address,
             incarnation: settings.incarnation.clamp(1, INCARNATION_LIMIT - 1),
             boot: settings.boot,
-            standing: Standing::Reachable,
+            state: MemberState::Reachable,
             by: settings.me,
         };
         Peers {
@@ -129,9 +131,9 @@
     /// Suspects count as answering until their timeout expires; otherwise each lost packet would
     /// make the whole fleet look partitioned.
     fn part(&self, members: &[Member]) -> Part {
-        let not_left = || members.iter().filter(|member| member.news.standing != Standing::Left);
-        let lowest = not_left().next().is_some_and(|lowest| lowest.news.standing.is_alive());
-        let alive = not_left().filter(|member| member.news.standing.is_alive()).count();
+        let not_left = || members.iter().filter(|member| member.news.state != MemberState::Left);
+        let lowest = not_left().next().is_some_and(|lowest| lowest.news.state.is_alive());
+        let alive = not_left().filter(|member| member.news.state.is_alive()).count();
         let all = not_left().count();
         match () {
             () if !self.has_met_peer => Part::Alone,
--- a/crates/peers/src/probe.rs
+++ b/crates/peers/src/probe.rs
@@ -2,7 +2,7 @@
 //! schedule.
 
 use crate::bounds;
-use crate::interface::{Action, Body, MemberId, Standing};
+use crate::interface::{Action, Body, MemberId, MemberState};
 use crate::packets::LEAVE_ROUNDS;
 use crate::state::{Peers, Probe};
 use cottonpoint_decide::Time;
@@ -154,7 +154,7 @@
         }
         self.send_reconnect_pings(actions);
         if self.sync_state.remaining > 0 {
-            let reachable = self.table.ids_in_state(|standing| standing == Standing::Reachable);
+            let reachable = self.table.ids_in_state(|state| state == MemberState::Reachable);
             if let Some(id) = self.random.choose(&reachable) {
                 self.request_sync(id, actions);
             }
@@ -175,11 +175,11 @@
     fn next_probe_target(&mut self) -> Option<MemberId> {
         for _ in 0..2 {
             while let Some(id) = self.probe_order.pop() {
-                if self.table.standing(id).is_some_and(Standing::is_alive) {
+                if self.table.state(id).is_some_and(MemberState::is_alive) {
                     return Some(id);
                 }
             }
-            self.probe_order = self.table.ids_in_state(Standing::is_alive);
+            self.probe_order = self.table.ids_in_state(MemberState::is_alive);
             self.random.shuffle(&mut self.probe_order);
         }
         None
@@ -189,7 +189,7 @@
     fn request_indirect_probes(&mut self, actions: &mut Vec<Action>) {
         let Some(mut probe) = self.probe.take() else { return };
         probe.direct_deadline = None;
-        let mut others = self.table.ids_in_state(|standing| standing == Standing::Reachable);
+        let mut others = self.table.ids_in_state(|state| state == MemberState::Reachable);
         others.retain(|id| *id != probe.target);
         self.random.shuffle(&mut others);
         others.truncate(bounds::HELPERS);
@@ -206,7 +206,7 @@
     /// Ends the period's probe: a target that has not answered is suspected.
     fn end_probe(&mut self) {
         let Some(probe) = self.probe.take() else { return };
-        if !self.table.standing(probe.target).is_some_and(Standing::is_alive) {
+        if !self.table.state(probe.target).is_some_and(MemberState::is_alive) {
             return;
         }
         self.suspect(probe.target);
@@ -313,7 +313,7 @@
     /// split: to one dead member, and to one seed at which no live member is known. If all seeds
     /// are known and alive, this costs nothing.
     fn send_reconnect_pings(&mut self, actions: &mut Vec<Action>) {
-        let dead = self.table.ids_in_state(|standing| standing == Standing::LastKnown);
+        let dead = self.table.ids_in_state(|state| state == MemberState::Dead);
         self.ping_random(&dead, actions);
         let known = self.table.alive_at(&self.settings.seeds);
         let unknown: Vec<_> =
@@ -328,7 +328,7 @@
     /// Leaves the fleet: other members hold it as left, and it sends nothing but leave messages.
     pub(crate) fn leave(&mut self) {
         if !self.has_left() {
-            self.local.update.standing = Standing::Left;
+            self.local.update.state = MemberState::Left;
             self.local.since = self.now;
             self.local.leave_rounds = LEAVE_ROUNDS;
             self.next_period = self.now;
@@ -341,7 +341,7 @@
     /// Rejoins the fleet under an incarnation above that of its leave message.
     pub(crate) fn join(&mut self) {
         if self.has_left() {
-            self.local.update.standing = Standing::Reachable;
+            self.local.update.state = MemberState::Reachable;
             self.local.since = self.now;
             let refuted =
                 self.local.pending_refutation.take().map_or(0, |refutation| refutation.incarnation);
--- a/crates/peers/src/receive.rs
+++ b/crates/peers/src/receive.rs
@@ -1,7 +1,7 @@
 //! Incoming packets: validation, the updates they carry, and the answers.
 
 use crate::bounds;
-use crate::interface::{Action, Body, MemberId, NAME_LIMIT, Packet, Standing, UPDATES_LIMIT, Update};
+use crate::interface::{Action, Body, MemberId, MemberState, NAME_LIMIT, Packet, UPDATES_LIMIT, Update};
 use crate::state::{IndirectPing, Peers};
 use crate::updates::{UpdateSource, is_usable};
 use std::net::SocketAddrV4;
@@ -27,7 +27,7 @@
         let came_back = self.apply_update(from, UpdateSource::Subject);
         self.apply_updates(packet);
         self.respond(packet, actions);
-        if came_back && from.standing == Standing::Reachable {
+        if came_back && from.state == MemberState::Reachable {
             // That member or this one was away, so its table is requested.
             self.request_sync(from.id, actions);
         }
@@ -48,8 +48,8 @@
     fn has_valid_sender(&self, packet: &Packet) -> bool {
         let from = &packet.from;
         let state_valid = match packet.body {
-            Body::Leave => from.standing == Standing::Left,
-            _ => from.standing == Standing::Reachable,
+            Body::Leave => from.state == MemberState::Left,
+            _ => from.state == MemberState::Reachable,
         };
         let address_valid = is_usable(from.address) && from.address != self.settings.address;
         state_valid && address_valid && from.name.len() <= NAME_LIMIT
@@ -123,7 +123,7 @@
             deadline,
         });
         self.counts.helped += 1;
-        let first = self.table.get(target).filter(|held| held.standing != Standing::Reachable).cloned();
+        let first = self.table.get(target).filter(|held| held.state != MemberState::Reachable).cloned();
         self.send_with(address, Some(target), first, Body::Ping { nonce: own_nonce }, actions);
     }
 }
--- a/crates/peers/src/state.rs
+++ b/crates/peers/src/state.rs
@@ -3,7 +3,7 @@
 
 use crate::bounds;
 use crate::gossip::Gossip;
-use crate::interface::{Counts, MemberId, Settings, Standing, Update};
+use crate::interface::{Counts, MemberId, MemberState, Settings, Update};
 use crate::random::Random;
 use crate::table::Table;
 use cottonpoint_decide::Time;
@@ -137,7 +137,7 @@
     /// minority side of a partition need not wait for confirmations from the other side.
     pub(crate) fn suspicion_deadline(&self, suspicion: &Suspicion) -> Time {
         let can_confirm = |id: &MemberId| {
-            *id == self.settings.me || self.table.standing(*id) == Some(Standing::Reachable)
+            *id == self.settings.me || self.table.state(*id) == Some(MemberState::Reachable)
         };
         let confirmed = suspicion.suspected_by.iter().filter(|id| can_confirm(id)).count();
         let reachable = self.table.alive().saturating_sub(self.suspicions.len());
@@ -154,7 +154,7 @@
     }
 
     pub(crate) fn has_left(&self) -> bool {
-        self.local.update.standing == Standing::Left
+        self.local.update.state == MemberState::Left
     }
 
     pub(crate) fn set_local_health(&mut self, score: u32) {
--- a/crates/peers/src/table.rs
+++ b/crates/peers/src/table.rs
@@ -4,7 +4,7 @@
 //! fields as tie-breakers. The greater one is kept, so reordered, duplicated and delayed packets
 //! lead to the same table in the end.
 
-use crate::interface::{MEMBERS_LIMIT, Member, MemberId, Standing, Update};
+use crate::interface::{MEMBERS_LIMIT, Member, MemberId, MemberState, Update};
 use cottonpoint_decide::Time;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -16,26 +16,26 @@
 /// Retention of a member that left: far longer than any update travels.
 pub(crate) const LEFT_RETENTION: Duration = Duration::from_secs(300);
 
-impl Standing {
+impl MemberState {
     /// Whether the member counts as answering: a suspect does until its timeout expires.
     pub fn is_alive(self) -> bool {
-        matches!(self, Standing::Reachable | Standing::Suspected)
+        matches!(self, MemberState::Reachable | MemberState::Suspected)
     }
 
     /// How long a member in this state is retained; `None` means without limit.
     pub(crate) fn retention(self) -> Option<Duration> {
         match self {
-            Standing::Reachable | Standing::Suspected => None,
-            Standing::LastKnown => Some(DEAD_RETENTION),
-            Standing::Left => Some(LEFT_RETENTION),
+            MemberState::Reachable | MemberState::Suspected => None,
+            MemberState::Dead => Some(DEAD_RETENTION),
+            MemberState::Left => Some(LEFT_RETENTION),
         }
     }
 }
 
 impl Update {
     /// The sort key by which one of two updates about the same member takes precedence.
-    pub(crate) fn precedence(&self) -> (u64, Standing, u64, SocketAddrV4, &str) {
-        (self.incarnation, self.standing, self.boot, self.address, &self.name)
+    pub(crate) fn precedence(&self) -> (u64, MemberState, u64, SocketAddrV4, &str) {
+        (self.incarnation, self.state, self.boot, self.address, &self.name)
     }
 }
 
@@ -51,8 +51,8 @@
         self.members.get(&id).map(|(update, _)| update)
     }
 
-    pub(crate) fn standing(&self, id: MemberId) -> Option<Standing> {
-        self.get(id).map(|update| update.standing)
+    pub(crate) fn state(&self, id: MemberId) -> Option<MemberState> {
+        self.get(id).map(|update| update.state)
     }
 
     /// Members that count as answering, without this one.
@@ -62,7 +62,7 @@
 
     /// Those of the given addresses at which a member counts as answering.
     pub(crate) fn alive_at(&self, addresses: &[SocketAddrV4]) -> Vec<SocketAddrV4> {
-        let alive = self.members.values().filter(|(update, _)| update.standing.is_alive());
+        let alive = self.members.values().filter(|(update, _)| update.state.is_alive());
         alive.map(|(update, _)| update.address).filter(|address| addresses.contains(address)).collect()
     }
 
@@ -76,17 +76,16 @@
     /// Stores an update; the caller has checked that it takes precedence.
     pub(crate) fn insert(&mut self, update: Update, now: Time) {
         let id = update.id;
-        let previous = self.members.get(&id).map(|(held, since)| (held.standing, *since));
-        let since =
-            previous.filter(|(standing, _)| *standing == update.standing).map_or(now, |(_, since)| since);
-        self.alive -= usize::from(previous.is_some_and(|(standing, _)| standing.is_alive()));
-        self.alive += usize::from(update.standing.is_alive());
+        let previous = self.members.get(&id).map(|(held, since)| (held.state, *since));
+        let since = previous.filter(|(state, _)| *state == update.state).map_or(now, |(_, since)| since);
+        self.alive -= usize::from(previous.is_some_and(|(state, _)| state.is_alive()));
+        self.alive += usize::from(update.state.is_alive());
         self.members.insert(id, (update, since));
     }
 
     pub(crate) fn remove(&mut self, id: MemberId) {
         let removed = self.members.remove(&id);
-        self.alive -= usize::from(removed.is_some_and(|(update, _)| update.standing.is_alive()));
+        self.alive -= usize::from(removed.is_some_and(|(update, _)| update.state.is_alive()));
     }
 
     /// Whether one more member fits, beside this one.
@@ -96,14 +95,14 @@
 
     /// The member that has been dead or left for longest; `None` if all are alive.
     pub(crate) fn longest_not_alive(&self) -> Option<MemberId> {
-        let not_alive = self.members.iter().filter(|(_, (update, _))| !update.standing.is_alive());
+        let not_alive = self.members.iter().filter(|(_, (update, _))| !update.state.is_alive());
         not_alive.min_by_key(|(id, (_, since))| (*since, **id)).map(|(id, _)| *id)
     }
 
     /// Members whose retention time is over.
     pub(crate) fn past_retention(&self, now: Time) -> Vec<MemberId> {
         let past_limit = |update: &Update, since| {
-            update.standing.retention().is_some_and(|retention| now.since(since) >= retention)
+            update.state.retention().is_some_and(|retention| now.since(since) >= retention)
         };
         self.members
             .iter()
@@ -113,8 +112,8 @@
     }
 
     /// The ids of all members in the given states.
-    pub(crate) fn ids_in_state(&self, matches: impl Fn(Standing) -> bool) -> Vec<MemberId> {
-        self.members.iter().filter(|(_, (update, _))| matches(update.standing)).map(|(id, _)| *id).collect()
+    pub(crate) fn ids_in_state(&self, matches: impl Fn(MemberState) -> bool) -> Vec<MemberId> {
+        self.members.iter().filter(|(_, (update, _))| matches(update.state)).map(|(id, _)| *id).collect()
     }
 
     /// The updates sent in answer to a sync request. Dead and left members are omitted in the
@@ -122,7 +121,7 @@
     /// them forever.
     pub(crate) fn sync_entries(&self, now: Time) -> impl Iterator<Item = &Update> {
         let in_first_half = move |update: &Update, since| {
-            update.standing.retention().is_none_or(|retention| now.since(since) < retention / 2)
+            update.state.retention().is_none_or(|retention| now.since(since) < retention / 2)
         };
         self.members
             .values()
--- a/crates/peers/src/updates.rs
+++ b/crates/peers/src/updates.rs
@@ -7,7 +7,7 @@
 //! end and can join again.
 
 use crate::bounds;
-use crate::interface::{MemberId, NAME_LIMIT, Standing, Update};
+use crate::interface::{MemberId, MemberState, NAME_LIMIT, Update};
 use crate::state::{Peers, PendingRefutation, Suspicion};
 use std::net::SocketAddrV4;
 
@@ -54,17 +54,17 @@
 }
 
 /// The update as it is stored, by its source and the state already held.
-fn as_stored(update: &Update, source: UpdateSource, held: Option<Standing>) -> Update {
+fn as_stored(update: &Update, source: UpdateSource, held: Option<MemberState>) -> Update {
     let mut update = update.clone();
     // The table may come from the far side of a partition that has healed since. It must not
     // declare dead a member that is alive here.
     if source == UpdateSource::Sync
-        && update.standing == Standing::LastKnown
-        && held.is_some_and(|standing| standing.is_alive())
+        && update.state == MemberState::Dead
+        && held.is_some_and(|state| state.is_alive())
     {
-        update.standing = Standing::Suspected;
+        update.state = MemberState::Suspected;
     }
-    if update.standing != Standing::Suspected {
+    if update.state != MemberState::Suspected {
         update.by = update.id;
     }
     update
@@ -82,18 +82,19 @@
             self.handle_update_about_self(update);
             return false;
         }
-        let held = self.table.get(update.id).map(|held| (held.incarnation, held.standing));
+        let held = self.table.get(update.id).map(|held| (held.incarnation, held.state));
         if update.incarnation
             > highest_accepted_incarnation(source, held.map(|(incarnation, _)| incarnation))
         {
             self.counts.absurd += 1;
             return false;
         }
-        let update = as_stored(update, source, held.map(|(_, standing)| standing));
+        let update = as_stored(update, source, held.map(|(_, state)| state));
         if self.table.get(update.id).is_none_or(|held| update.precedence() > held.precedence()) {
             return self.store_update(update);
         }
-        if update.standing == Standing::Suspected && held == Some((update.incarnation, Standing::Suspected))
+        if update.state == MemberState::Suspected
+            && held == Some((update.incarnation, MemberState::Suspected))
         {
             self.confirm_suspicion(update.id, update.by);
         }
@@ -110,10 +111,10 @@
     /// Stores an update that takes precedence over the one held. Returns whether it made a member
     /// alive that was not. Updates of unknown members that don't fit are counted and dropped.
     pub(crate) fn store_update(&mut self, update: Update) -> bool {
-        let (id, standing) = (update.id, update.standing);
-        let previous = self.table.get(id).map(|held| (held.incarnation, held.standing));
+        let (id, state) = (update.id, update.state);
+        let previous = self.table.get(id).map(|held| (held.incarnation, held.state));
         if previous.is_none() && !self.table.has_room() {
-            match self.table.longest_not_alive().filter(|_| standing.is_alive()) {
+            match self.table.longest_not_alive().filter(|_| state.is_alive()) {
                 Some(removable) => self.remove_member(removable),
                 None => {
                     self.counts.full += 1;
@@ -121,10 +122,10 @@
                 }
             }
         }
-        let was_alive = previous.is_some_and(|(_, standing)| standing.is_alive());
+        let was_alive = previous.is_some_and(|(_, state)| state.is_alive());
         let new_suspicion =
-            previous.is_none_or(|previous| previous != (update.incarnation, Standing::Suspected));
-        if standing != Standing::Suspected {
+            previous.is_none_or(|previous| previous != (update.incarnation, MemberState::Suspected));
+        if state != MemberState::Suspected {
             self.suspicions.remove(&id);
         } else if new_suspicion {
             let members = self.alive_count() + usize::from(!was_alive);
@@ -142,12 +143,12 @@
         self.has_met_peer = true;
         self.gossip.add(id);
         self.bump_version();
-        if standing.is_alive() && !was_alive {
+        if state.is_alive() && !was_alive {
             // A random position in the rest of the round, so that all members are probed in turn.
             let position = self.random.below(self.probe_order.len() + 1);
             self.probe_order.insert(position, id);
         }
-        standing.is_alive() && !was_alive
+        state.is_alive() && !was_alive
     }
 
     /// Records that another member suspects this one independently. Only members held here count,
@@ -170,14 +171,14 @@
     /// Suspects a member that did not answer this member's own probe.
     pub(crate) fn suspect(&mut self, id: MemberId) {
         let Some(held) = self.table.get(id) else { return };
-        match held.standing {
-            Standing::Reachable => {
-                let update = Update { standing: Standing::Suspected, by: self.settings.me, ..held.clone() };
+        match held.state {
+            MemberState::Reachable => {
+                let update = Update { state: MemberState::Suspected, by: self.settings.me, ..held.clone() };
                 self.counts.suspicions += 1;
                 self.store_update(update);
             }
-            Standing::Suspected => self.confirm_suspicion(id, self.settings.me),
-            Standing::LastKnown | Standing::Left => {}
+            MemberState::Suspected => self.confirm_suspicion(id, self.settings.me),
+            MemberState::Dead | MemberState::Left => {}
         }
     }
 
@@ -188,7 +189,7 @@
             self.suspicions.iter().filter(|(_, it)| expired(it)).map(|(id, _)| *id).collect();
         for id in expired {
             let Some(held) = self.table.get(id) else { continue };
-            let update = Update { standing: Standing::LastKnown, by: id, ..held.clone() };
+            let update = Update { state: MemberState::Dead, by: id, ..held.clone() };
             self.counts.deaths += 1;
             self.store_update(update);
         }
--- a/crates/peers/tests/common/mod.rs
+++ b/crates/peers/tests/common/mod.rs
@@ -38,7 +38,7 @@
 /// A member's update about itself at its start.
 pub fn initial_update(at: usize) -> Update {
     let Settings { me, name, address, incarnation, boot, .. } = settings(at);
-    Update { id: me, name, address, incarnation, boot, standing: Standing::Reachable, by: me }
+    Update { id: me, name, address, incarnation, boot, state: MemberState::Reachable, by: me }
 }
 
 pub struct Net {
@@ -83,7 +83,7 @@
     pub fn settled(members: usize, seed: u64) -> Net {
         let mut net = Net::new(members, seed);
         net.run(T * (10 + members as u32));
-        assert!(net.all_hold(|_, _, standing| standing == Standing::Reachable), "not settled");
+        assert!(net.all_hold(|_, _, state| state == MemberState::Reachable), "not settled");
         net
     }
 
@@ -173,9 +173,9 @@
     }
 
     /// The state in which one member holds another.
-    pub fn standing(&self, at: usize, of: usize) -> Option<Standing> {
+    pub fn state(&self, at: usize, of: usize) -> Option<MemberState> {
         let view = self.members[at].as_ref()?.view();
-        view.members.iter().find(|member| member.news.id == id(of)).map(|member| member.news.standing)
+        view.members.iter().find(|member| member.news.id == id(of)).map(|member| member.news.state)
     }
 
     pub fn peers(&self, at: usize) -> &Peers {
@@ -183,12 +183,12 @@
     }
 
     /// Whether every live member holds every other live member in a state that satisfies `good`.
-    pub fn all_hold(&self, good: impl Fn(usize, usize, Standing) -> bool) -> bool {
+    pub fn all_hold(&self, good: impl Fn(usize, usize, MemberState) -> bool) -> bool {
         let live: Vec<_> = (0..self.members.len()).filter(|at| self.members[*at].is_some()).collect();
         live.iter().all(|at| {
             let view = self.peers(*at).view();
             let held: BTreeMap<_, _> =
-                view.members.iter().map(|member| (member.news.id, member.news.standing)).collect();
+                view.members.iter().map(|member| (member.news.id, member.news.state)).collect();
             live.iter().all(|of| at == of || held.get(&id(*of)).is_some_and(|held| good(*at, *of, *held)))
         })
     }
--- a/crates/peers/tests/model.rs
+++ b/crates/peers/tests/model.rs
@@ -86,7 +86,7 @@
         let during = if matches!(fault, Fault::Restart(_)) { Fault::None } else { fault };
         let dead = |world: &World| {
             let view = world.members[0].as_ref().unwrap().view();
-            view.members.iter().any(|member| !member.news.standing.is_alive())
+            view.members.iter().any(|member| !member.news.state.is_alive())
         };
         while !dead(&world) {
             world.run(1, during);
@@ -190,7 +190,7 @@
         let live =
             |of: MemberId| (0..self.members.len()).any(|at| id(at) == of && self.members[at].is_some());
         let members = self.members.iter().flatten().flat_map(|peers| peers.view().members);
-        let dead = members.filter(move |member| !member.news.standing.is_alive() && live(member.news.id));
+        let dead = members.filter(move |member| !member.news.state.is_alive() && live(member.news.id));
         dead.map(|member| self.now.since(member.since.max(self.last_fault)))
     }
 
--- a/crates/peers/tests/network.rs
+++ b/crates/peers/tests/network.rs
@@ -5,8 +5,8 @@
 use common::*;
 use cottonpoint_peers::*;
 
-const REACHABLE: Option<Standing> = Some(Standing::Reachable);
-const LAST_KNOWN: Option<Standing> = Some(Standing::LastKnown);
+const REACHABLE: Option<MemberState> = Some(MemberState::Reachable);
+const DEAD: Option<MemberState> = Some(MemberState::Dead);
 
 /// Guards against members that don't find one another through seeds, and a crash that some members
 /// never learn of.
@@ -15,9 +15,9 @@
     for members in [2, 3, 10, 40] {
         let mut net = Net::settled(members, members as u64);
         net.crash(members - 1);
-        let known = |net: &Net| (0..members - 1).all(|at| net.standing(at, members - 1) == LAST_KNOWN);
+        let known = |net: &Net| (0..members - 1).all(|at| net.state(at, members - 1) == DEAD);
         assert!(net.run_until(bounds::known_to_all(members, T), known), "{members}");
-        assert!(net.all_hold(|_, _, standing| standing == Standing::Reachable), "{members}");
+        assert!(net.all_hold(|_, _, state| state == MemberState::Reachable), "{members}");
     }
 }
 
@@ -27,7 +27,7 @@
     for seed in 0..10 {
         let mut net = Net::settled(10, seed);
         net.loss = 10;
-        let dead = |net: &Net| !net.all_hold(|_, _, standing| standing.is_alive());
+        let dead = |net: &Net| !net.all_hold(|_, _, state| state.is_alive());
         assert!(!net.run_until(T * 300, dead), "{seed}");
     }
 }
@@ -37,7 +37,7 @@
 #[test]
 fn members_that_start_together_all_meet_in_ten_periods() {
     let mut net = Net::new(100, 3);
-    assert!(net.run_until(T * 10, |net| net.all_hold(|_, _, standing| standing == Standing::Reachable)));
+    assert!(net.run_until(T * 10, |net| net.all_hold(|_, _, state| state == MemberState::Reachable)));
     assert!((0..100).all(|at| net.peers(at).view().part == Part::Whole));
 }
 
@@ -53,7 +53,7 @@
             net.start(at, Settings { seeds, seed: seed ^ (at as u64) << 32, ..settings(at) });
             net.run(T / 10);
         }
-        let whole = |net: &Net| net.all_hold(|_, _, standing| standing == Standing::Reachable);
+        let whole = |net: &Net| net.all_hold(|_, _, state| state == MemberState::Reachable);
         assert!(net.run_until(T * 3 + bounds::dissemination(10, T), whole), "{seed}");
     }
 }
@@ -70,13 +70,13 @@
             .filter(|(a, b)| across(*a, *b))
             .collect();
         let split = |net: &Net| {
-            net.all_hold(|a, b, standing| {
-                standing == if across(a, b) { Standing::LastKnown } else { Standing::Reachable }
+            net.all_hold(|a, b, state| {
+                state == if across(a, b) { MemberState::Dead } else { MemberState::Reachable }
             })
         };
         assert!(net.run_until(bounds::known_to_all(members, T) * 2, split), "{members}");
         net.cut_links.clear();
-        let healed = |net: &Net| net.all_hold(|_, _, standing| standing == Standing::Reachable);
+        let healed = |net: &Net| net.all_hold(|_, _, state| state == MemberState::Reachable);
         assert!(net.run_until(T * 3 + bounds::dissemination(members, T), healed), "{members}");
     }
 }
@@ -108,12 +108,12 @@
 fn leaving_member_is_not_suspected_and_can_rejoin() {
     let mut net = Net::settled(10, 1);
     net.deliver(9, Event::Leave);
-    let left = |net: &Net| (0..9).all(|at| net.standing(at, 9) == Some(Standing::Left));
+    let left = |net: &Net| (0..9).all(|at| net.state(at, 9) == Some(MemberState::Left));
     assert!(net.run_until(bounds::dissemination(10, T), left));
     let suspicions: u64 = (0..9).map(|at| net.peers(at).counts().suspicions).sum();
     assert_eq!(suspicions, 0);
     net.deliver(9, Event::Join);
-    let back = |net: &Net| (0..9).all(|at| net.standing(at, 9) == REACHABLE);
+    let back = |net: &Net| (0..9).all(|at| net.state(at, 9) == REACHABLE);
     assert!(net.run_until(bounds::dissemination(10, T), back));
 }
 
@@ -123,7 +123,7 @@
     for members in [3, 4, 10] {
         let mut net = Net::settled(members, 5);
         net.cut_links.insert((0, 1));
-        let dead = |net: &Net| !net.all_hold(|_, _, standing| standing.is_alive());
+        let dead = |net: &Net| !net.all_hold(|_, _, state| state.is_alive());
         assert!(!net.run_until(T * 200, dead), "{members}");
     }
 }
@@ -144,7 +144,7 @@
                     .iter()
                     .any(|member| member.news.id == id(4) && member.news.boot == 9)
             };
-            (0..4).all(boot) && net.all_hold(|_, _, standing| standing == Standing::Reachable)
+            (0..4).all(boot) && net.all_hold(|_, _, state| state == MemberState::Reachable)
         };
         assert!(net.run_until(bounds::refutation_round(5, T), new), "{periods_down}");
         assert!(
@@ -163,7 +163,7 @@
         net.suspend(3);
         net.run(T * stalled_periods);
         net.resume(3);
-        let back = |net: &Net| net.all_hold(|_, _, standing| standing == Standing::Reachable);
+        let back = |net: &Net| net.all_hold(|_, _, state| state == MemberState::Reachable);
         net.run(T / 100);
         assert!(net.peers(3).view().unwell > 0 && net.peers(3).counts().late > 0, "{stalled_periods}");
         assert!(net.run_until(bounds::refutation_round(10, T), back), "{stalled_periods}");
@@ -194,10 +194,10 @@
     net.run(T * 5);
     net.cut_links = (0..4).flat_map(|a| (0..4).map(move |b| (a, b))).collect();
     net.run(bounds::known_to_all(4, T) * 3);
-    assert!(net.all_hold(|_, _, standing| standing == Standing::LastKnown));
+    assert!(net.all_hold(|_, _, state| state == MemberState::Dead));
     assert!((0..4).all(|at| net.peers(at).view().part == Part::Smaller));
     // The two seeds remain unreachable.
     net.cut_links.retain(|(a, b)| *a < 2 || *b < 2);
-    let back = |net: &Net| net.standing(2, 3) == REACHABLE && net.standing(3, 2) == REACHABLE;
+    let back = |net: &Net| net.state(2, 3) == REACHABLE && net.state(3, 2) == REACHABLE;
     assert!(net.run_until(T * 12, back));
 }
--- a/crates/peers/tests/properties.rs
+++ b/crates/peers/tests/properties.rs
@@ -17,11 +17,11 @@
 fn any_update() -> impl Strategy<Value = Update> {
     let incarnation =
         prop_oneof![0..5u64, Just(1 << 32), Just((1 << 63) - 1), Just(u64::MAX), any::<u64>()];
-    let standing = prop_oneof![
-        Just(Standing::Reachable),
-        Just(Standing::Suspected),
-        Just(Standing::LastKnown),
-        Just(Standing::Left)
+    let state = prop_oneof![
+        Just(MemberState::Reachable),
+        Just(MemberState::Suspected),
+        Just(MemberState::Dead),
+        Just(MemberState::Left)
     ];
     let address = prop_oneof![
         4 => (0..8usize).prop_map(address),
@@ -29,14 +29,14 @@
         1 => Just(SocketAddrV4::new([224, 0, 0, 1].into(), 9)),
     ];
     let id = prop_oneof![8 => 0..8u64, 1 => any::<u64>()];
-    (id, 0..50usize, address, incarnation, 0..3u64, standing, 0..9u64).prop_map(
-        |(id, name, address, incarnation, boot, standing, by)| Update {
+    (id, 0..50usize, address, incarnation, 0..3u64, state, 0..9u64).prop_map(
+        |(id, name, address, incarnation, boot, state, by)| Update {
             id: MemberId(id),
             name: "n".repeat(name),
             address,
             incarnation,
             boot,
-            standing,
+            state,
             by: MemberId(by),
         },
     )
@@ -59,10 +59,10 @@
     // Half of the senders describe themselves as a correct member does.
     (any_update(), any::<bool>(), body, vec(any_update(), 0..120)).prop_map(
         |(from, honest, body, updates)| {
-            let standing = if body == Body::Leave { Standing::Left } else { Standing::Reachable };
+            let state = if body == Body::Leave { MemberState::Left } else { MemberState::Reachable };
             let at = (from.id.0 % 8) as usize;
             let from = if honest {
-                Update { standing, address: address(at), name: "n".into(), ..from }
+                Update { state, address: address(at), name: "n".into(), ..from }
             } else {
                 from
             };
@@ -119,7 +119,7 @@
                         let length = postcard::to_allocvec(packet).unwrap().len();
                         prop_assert!(length <= PACKET_LIMIT - SEAL_ROOM, "{length}");
                         prop_assert_eq!(packet.from.id, id(0));
-                        let left = packet.from.standing == Standing::Left;
+                        let left = packet.from.state == MemberState::Left;
                         prop_assert!(!left || packet.body == Body::Leave, "{:?} after leaving", packet.body);
                     }
                 }
@@ -156,7 +156,7 @@
         }
         net.loss = 0;
         (0..members).for_each(|at| net.deliver(at, Event::Join));
-        let whole = |net: &Net| net.all_hold(|_, _, standing| standing == Standing::Reachable);
+        let whole = |net: &Net| net.all_hold(|_, _, state| state == MemberState::Reachable);
         prop_assert!(net.run_until(bounds::known_to_all(members, T), whole));
         // Gossip about the faults ends, too.
         net.run(bounds::known_to_all(members, T));
@@ -192,7 +192,7 @@
             address: "127.255.255.254:65535".parse().unwrap(),
             incarnation: (1 << 32) + 1,
             boot: u64::MAX,
-            standing: Standing::Reachable,
+            state: MemberState::Reachable,
             by: MemberId(u64::MAX),
         };
         let mut peers = Peers::new(Settings { name: "n".repeat(own_name), ..settings(0) }, Time(0));
--- a/crates/peers/tests/rules.rs
+++ b/crates/peers/tests/rules.rs
@@ -40,8 +40,8 @@
     pings.collect()
 }
 
-fn report(of: usize, standing: Standing, by: usize) -> Update {
-    Update { standing, by: id(by), ..initial_update(of) }
+fn report(of: usize, state: MemberState, by: usize) -> Update {
+    Update { state, by: id(by), ..initial_update(of) }
 }
 
 /// Guards against a table that grows without bound, or that drops a reachable member to hold
@@ -49,15 +49,15 @@
 #[test]
 fn full_table_drops_the_longest_dead_and_never_a_reachable_member() {
     let mut peers = started();
-    let last_known: Vec<_> = (2000..2002).map(|at| report(at, Standing::LastKnown, at)).collect();
-    deliver(&mut peers, NOW, 1, Body::Known, last_known);
+    let dead: Vec<_> = (2000..2002).map(|at| report(at, MemberState::Dead, at)).collect();
+    deliver(&mut peers, NOW, 1, Body::Known, dead);
     for from in (2..1100).step_by(90) {
         let some = (from..from + 90).map(initial_update).collect();
         deliver(&mut peers, NOW + T / 1000, 1, Body::Known, some);
     }
     let members = peers.view().members;
     assert_eq!(members.len(), MEMBERS_LIMIT);
-    assert!(members.iter().all(|member| member.news.standing == Standing::Reachable));
+    assert!(members.iter().all(|member| member.news.state == MemberState::Reachable));
     assert_eq!(peers.counts().forgotten, 2);
     assert!(peers.counts().full > 0);
 }
@@ -71,7 +71,7 @@
         NOW,
         1,
         Body::Known,
-        vec![report(2, Standing::LastKnown, 2), report(3, Standing::Left, 3)],
+        vec![report(2, MemberState::Dead, 2), report(3, MemberState::Left, 3)],
     );
     let holds = |peers: &mut Peers, at: u64, of| {
         peers.handle(NOW + Duration::from_secs(at), Event::Wake, &mut Vec::new());
@@ -86,8 +86,8 @@
 #[test]
 fn implausible_incarnations_are_dropped_and_counted() {
     let mut peers = started();
-    let implausible = Update { incarnation: u64::MAX, ..report(2, Standing::LastKnown, 2) };
-    let own = Update { incarnation: u64::MAX, ..report(0, Standing::LastKnown, 0) };
+    let implausible = Update { incarnation: u64::MAX, ..report(2, MemberState::Dead, 2) };
+    let own = Update { incarnation: u64::MAX, ..report(0, MemberState::Dead, 0) };
     deliver(&mut peers, NOW, 1, Body::Ping { nonce: 1 }, vec![initial_update(2), implausible, own]);
     assert_eq!((peers.counts().absurd, peers.view().incarnation), (2, 1));
     assert_eq!(peers.view().members[2].news, initial_update(2));
@@ -101,10 +101,10 @@
         let mut peers = started();
         deliver(&mut peers, NOW, 1, Body::Known, (1..10).map(initial_update).collect());
         for (from, by) in by.iter().enumerate() {
-            let suspected = vec![report(9, Standing::Suspected, *by)];
+            let suspected = vec![report(9, MemberState::Suspected, *by)];
             deliver(&mut peers, NOW, 1 + from, Body::Ping { nonce: 1 }, suspected);
         }
-        let dead = |peers: &Peers| peers.view().members[9].news.standing == Standing::LastKnown;
+        let dead = |peers: &Peers| peers.view().members[9].news.state == MemberState::Dead;
         (0..200).find(|quarter| {
             let (now, mut actions) = (NOW + T / 4 * *quarter, Vec::new());
             peers.handle(now, Event::Wake, &mut actions);
@@ -183,7 +183,7 @@
     let mut peers = started();
     deliver(&mut peers, NOW, 1, Body::Known, (1..60).map(initial_update).collect());
     for by in 1..5 {
-        deliver(&mut peers, NOW, by, Body::Ping { nonce: 1 }, vec![report(59, Standing::Suspected, by)]);
+        deliver(&mut peers, NOW, by, Body::Ping { nonce: 1 }, vec![report(59, MemberState::Suspected, by)]);
     }
     let (mut pinged_at, mut quarter) = (Vec::new(), 0);
     while peers.counts().deaths == 0 && quarter < 200 {
@@ -224,8 +224,8 @@
             peers.handle(now + T / 10 * tenth, Event::Wake, &mut Vec::new());
         }
         let members = peers.view().members;
-        members.iter().find(|member| member.news.id == id(1)).map(|member| member.news.standing)
+        members.iter().find(|member| member.news.id == id(1)).map(|member| member.news.state)
     };
-    assert_eq!(standing_after_a_period(true), Some(Standing::Suspected));
-    assert_eq!(standing_after_a_period(false), Some(Standing::Reachable));
+    assert_eq!(standing_after_a_period(true), Some(MemberState::Suspected));
+    assert_eq!(standing_after_a_period(false), Some(MemberState::Reachable));
 }
--- a/crates/program/src/fleet.rs
+++ b/crates/program/src/fleet.rs
@@ -5,7 +5,7 @@
 use async_io::Timer;
 use cottonpoint_mesh::seal::Refusal;
 use cottonpoint_mesh::{Command, Figures, Handle, Mesh, Settings, id_of};
-use cottonpoint_peers::{Counts, Part, Standing};
+use cottonpoint_peers::{Counts, MemberState, Part};
 use serde_json::{Map, Value, json};
 use std::cell::{Cell, OnceCell, RefCell};
 use std::io::{self, ErrorKind};
@@ -101,12 +101,12 @@
     }
 }
 
-fn standing(standing: Standing) -> &'static str {
+fn standing(standing: MemberState) -> &'static str {
     match standing {
-        Standing::Reachable => "reachable",
-        Standing::Suspected => "suspected",
-        Standing::LastKnown => "last-known",
-        Standing::Left => "left",
+        MemberState::Reachable => "reachable",
+        MemberState::Suspected => "suspected",
+        MemberState::Dead => "last-known",
+        MemberState::Left => "left",
     }
 }
 
@@ -135,7 +135,7 @@
                 "address": news.address.to_string(),
                 "incarnation": news.incarnation,
                 "boot": id(news.boot),
-                "standing": standing(news.standing),
+                "standing": standing(news.state),
                 "since_ms": u64::try_from(now.since(member.since).as_millis()).unwrap_or(u64::MAX),
             })
         })
@@ -188,8 +188,8 @@
 /// For the metrics: members by standing, and datagrams by what became of them.
 pub fn counted(fleet: &Handle) -> [Vec<(&'static str, u64)>; 2] {
     let (snapshot, shell) = (fleet.snapshot(), fleet.figures());
-    let held = |of| snapshot.view.members.iter().filter(|member| member.news.standing == of).count();
-    let all = [Standing::Reachable, Standing::Suspected, Standing::LastKnown, Standing::Left];
+    let held = |of| snapshot.view.members.iter().filter(|member| member.news.state == of).count();
+    let all = [MemberState::Reachable, MemberState::Suspected, MemberState::Dead, MemberState::Left];
     let members = all.iter().map(|&of| (standing(of), held(of) as u64)).collect();
     let mut datagrams = vec![
         ("taken", shell.taken),
