--- a/crates/lab/src/fleet/host.rs
+++ b/crates/lab/src/fleet/host.rs
@@ -2,7 +2,7 @@
 
 use super::log::Held;
 use cottonpoint_decide::Time;
-use cottonpoint_peers::{MemberId, Packet, Part, Peers};
+use cottonpoint_peers::{MemberId, Packet, PartitionStatus, Peers};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -25,7 +25,7 @@
     /// The version of the view that was recorded last, what it held of each member, and its part.
     pub(super) seen_version: u64,
     pub(super) seen: Vec<Held>,
-    pub(super) part: Option<Part>,
+    pub(super) part: Option<PartitionStatus>,
     /// The process that runs, as it drew it.
     pub(super) boot: u64,
     /// Packets and bytes that it has sent, and its longest packet.
--- a/crates/lab/src/fleet/inspect.rs
+++ b/crates/lab/src/fleet/inspect.rs
@@ -5,7 +5,7 @@
 use super::setup::{PacketCounts, Setup};
 use super::world::Fleet;
 use crate::rig::links::Links;
-use cottonpoint_peers::{Counts, MemberState, Part, View};
+use cottonpoint_peers::{Counts, MemberState, PartitionStatus, View};
 use std::cmp::Reverse;
 
 impl Fleet {
@@ -45,8 +45,8 @@
     }
 
     /// What it calls its part.
-    pub fn part(&self, i: usize) -> Option<Part> {
-        self.view(i).map(|view| view.part)
+    pub fn part(&self, i: usize) -> Option<PartitionStatus> {
+        self.view(i).map(|view| view.partition)
     }
 
     /// The process that runs at a member's address, as it drew it.
--- a/crates/lab/src/fleet/log.rs
+++ b/crates/lab/src/fleet/log.rs
@@ -1,6 +1,6 @@
 //! What members held of each other, change by change.
 
-use cottonpoint_peers::{MemberState, Part};
+use cottonpoint_peers::{MemberState, PartitionStatus};
 
 /// What one member holds of another; standing `None` is one that it does not know.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -46,7 +46,7 @@
     /// Changes, in order of time.
     pub changes: Vec<Change>,
     /// What a member came to call its part: when, who, what.
-    pub parts: Vec<(u64, usize, Part)>,
+    pub parts: Vec<(u64, usize, PartitionStatus)>,
 }
 
 /// A stretch of time in which one member held another dead.
--- a/crates/lab/src/fleet/plays.rs
+++ b/crates/lab/src/fleet/plays.rs
@@ -5,7 +5,7 @@
 use super::{Disabled, Fleet};
 use crate::draw::{Draw, Purpose};
 use crate::rig::links::{Change, Faults};
-use cottonpoint_peers::{MemberState, Part, bounds};
+use cottonpoint_peers::{MemberState, PartitionStatus, bounds};
 use std::time::Duration;
 
 /// The period of all plays, in nanoseconds.
@@ -146,9 +146,9 @@
     fleet.run(heal);
     let lowest = fleet.lowest();
     let right = |side: &[usize]| match (2 * side.len()).cmp(&n) {
-        std::cmp::Ordering::Greater => Part::Larger,
-        std::cmp::Ordering::Equal if side.contains(&lowest) => Part::Larger,
-        _ => Part::Smaller,
+        std::cmp::Ordering::Greater => PartitionStatus::Majority,
+        std::cmp::Ordering::Equal if side.contains(&lowest) => PartitionStatus::Majority,
+        _ => PartitionStatus::Minority,
     };
     let rightly =
         [first, second].iter().all(|side| side.iter().all(|i| fleet.part(*i) == Some(right(side))));
--- a/crates/lab/src/fleet/world.rs
+++ b/crates/lab/src/fleet/world.rs
@@ -279,8 +279,8 @@
                 self.log.changes.push(Change { at: self.now, by: i, of, before, now: *now });
             }
         }
-        if self.hosts[i].part.replace(view.part) != Some(view.part) {
-            self.log.parts.push((self.now, i, view.part));
+        if self.hosts[i].part.replace(view.partition) != Some(view.partition) {
+            self.log.parts.push((self.now, i, view.partition));
         }
     }
 
--- a/crates/peers/src/interface.rs
+++ b/crates/peers/src/interface.rs
@@ -176,17 +176,17 @@
 
 /// How complete a view is: whether this member may be on one side of a network partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum PartitionStatus {
     /// This member has never met another one.
     Alone,
     /// All members that have not left answer.
     Whole,
     /// Some members don't answer. Those that do are more than half, or exactly half including the
     /// lowest id.
-    Larger,
+    Majority,
     /// Those that answer are fewer than half, or exactly half without the lowest id: the other side
     /// may make different decisions.
-    Smaller,
+    Minority,
 }
 
 /// The fleet as this member sees it, with how far the view can be trusted.
@@ -201,7 +201,7 @@
     /// All members held, this one included, sorted by id.
     pub members: Vec<Member>,
     /// How complete the view is.
-    pub part: Part,
+    pub partition: PartitionStatus,
     /// The local health score of this member (Lifeguard): 0 is healthy. The member multiplies its
     /// own timeouts by the score plus one.
     pub unwell: u32,
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -39,7 +39,7 @@
 //! });
 //! first.handle(now, Event::Packet(&ping.unwrap()), &mut actions);
 //! assert_eq!(first.view().members.len(), 2);
-//! assert_eq!(first.view().part, Part::Whole);
+//! assert_eq!(first.view().partition, PartitionStatus::Whole);
 //! ```
 
 // Module dependencies are acyclic. From the lowest to the highest: `interface`, `bounds` and `random`;
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -3,7 +3,7 @@
 
 use crate::gossip::Gossip;
 use crate::interface::{
-    Action, Counts, Event, Member, MemberState, NAME_LIMIT, Part, Settings, Update, View,
+    Action, Counts, Event, Member, MemberState, NAME_LIMIT, PartitionStatus, Settings, Update, View,
 };
 use crate::random::Random;
 use crate::state::{LocalMember, Peers, SyncState, Version};
@@ -112,7 +112,7 @@
             version: self.version.0,
             me: self.settings.me,
             incarnation: self.local.update.incarnation,
-            part: self.part(&members),
+            partition: self.partition_status(&members),
             members,
             unwell: self.local_health,
         }
@@ -130,16 +130,16 @@
 
     /// Suspects count as answering until their timeout expires; otherwise each lost packet would
     /// make the whole fleet look partitioned.
-    fn part(&self, members: &[Member]) -> Part {
+    fn partition_status(&self, members: &[Member]) -> PartitionStatus {
         let not_left = || members.iter().filter(|member| member.news.state != MemberState::Left);
         let lowest = not_left().next().is_some_and(|lowest| lowest.news.state.is_alive());
         let alive = not_left().filter(|member| member.news.state.is_alive()).count();
         let all = not_left().count();
         match () {
-            () if !self.has_met_peer => Part::Alone,
-            () if alive == all => Part::Whole,
-            () if 2 * alive > all || (2 * alive == all && lowest) => Part::Larger,
-            () => Part::Smaller,
+            () if !self.has_met_peer => PartitionStatus::Alone,
+            () if alive == all => PartitionStatus::Whole,
+            () if 2 * alive > all || (2 * alive == all && lowest) => PartitionStatus::Majority,
+            () => PartitionStatus::Minority,
         }
     }
 }
--- a/crates/peers/tests/network.rs
+++ b/crates/peers/tests/network.rs
@@ -38,7 +38,7 @@
 fn members_that_start_together_all_meet_in_ten_periods() {
     let mut net = Net::new(100, 3);
     assert!(net.run_until(T * 10, |net| net.all_hold(|_, _, state| state == MemberState::Reachable)));
-    assert!((0..100).all(|at| net.peers(at).view().part == Part::Whole));
+    assert!((0..100).all(|at| net.peers(at).view().partition == PartitionStatus::Whole));
 }
 
 /// Guards against members that start in separate groups, each around a seed of its own, and stay
@@ -93,7 +93,8 @@
             .flat_map(|a| (0..members).map(move |b| (a, b)))
             .filter(|(a, b)| (*a < minority) != (*b < minority))
             .collect();
-        let detected = |net: &Net| (0..minority).all(|at| net.peers(at).view().part == Part::Smaller);
+        let detected =
+            |net: &Net| (0..minority).all(|at| net.peers(at).view().partition == PartitionStatus::Minority);
         // Half of the guaranteed time: the detection depends on no confirmation from the other
         // side.
         assert!(
@@ -195,7 +196,7 @@
     net.cut_links = (0..4).flat_map(|a| (0..4).map(move |b| (a, b))).collect();
     net.run(bounds::known_to_all(4, T) * 3);
     assert!(net.all_hold(|_, _, state| state == MemberState::Dead));
-    assert!((0..4).all(|at| net.peers(at).view().part == Part::Smaller));
+    assert!((0..4).all(|at| net.peers(at).view().partition == PartitionStatus::Minority));
     // The two seeds remain unreachable.
     net.cut_links.retain(|(a, b)| *a < 2 || *b < 2);
     let back = |net: &Net| net.state(2, 3) == REACHABLE && net.state(3, 2) == REACHABLE;
--- a/crates/program/src/fleet.rs
+++ b/crates/program/src/fleet.rs
@@ -5,7 +5,7 @@
 use async_io::Timer;
 use cottonpoint_mesh::seal::Refusal;
 use cottonpoint_mesh::{Command, Figures, Handle, Mesh, Settings, id_of};
-use cottonpoint_peers::{Counts, MemberState, Part};
+use cottonpoint_peers::{Counts, MemberState, PartitionStatus};
 use serde_json::{Map, Value, json};
 use std::cell::{Cell, OnceCell, RefCell};
 use std::io::{self, ErrorKind};
@@ -110,12 +110,12 @@
     }
 }
 
-fn part(part: Part) -> &'static str {
+fn part(part: PartitionStatus) -> &'static str {
     match part {
-        Part::Alone => "alone",
-        Part::Whole => "whole",
-        Part::Larger => "larger",
-        Part::Smaller => "smaller",
+        PartitionStatus::Alone => "alone",
+        PartitionStatus::Whole => "whole",
+        PartitionStatus::Majority => "larger",
+        PartitionStatus::Minority => "smaller",
     }
 }
 
@@ -145,7 +145,7 @@
         "me": id(view.me.0),
         "name": me.map(|me| me.news.name.as_str()),
         "incarnation": view.incarnation,
-        "part": part(view.part),
+        "part": part(view.partition),
         "unwell": view.unwell,
         "version": view.version,
         "members": members,
