--- a/crates/lab/src/fleet/disabled.rs
+++ b/crates/lab/src/fleet/disabled.rs
@@ -32,10 +32,10 @@
 
     /// What is left of a packet when its receiver gets it.
     pub fn redacted(self, packet: &Packet, receiver: MemberId) -> Option<Packet> {
-        let mentions_receiver = |packet: &Packet| packet.updates.iter().any(|news| news.id == receiver);
+        let mentions_receiver = |packet: &Packet| packet.updates.iter().any(|update| update.id == receiver);
         (self == Disabled::Refutation && mentions_receiver(packet)).then(|| {
             let mut packet = packet.clone();
-            packet.updates.retain(|news| news.id != receiver);
+            packet.updates.retain(|update| update.id != receiver);
             packet
         })
     }
--- a/crates/lab/src/fleet/world.rs
+++ b/crates/lab/src/fleet/world.rs
@@ -287,10 +287,13 @@
     pub(super) fn held_by(&self, view: &View) -> Vec<Held> {
         let mut holds = vec![Held::default(); self.hosts.len()];
         for member in &view.members {
-            if let Some(of) = self.by_id.get(&member.news.id) {
-                let news = &member.news;
-                holds[*of] =
-                    Held { standing: Some(news.state), incarnation: news.incarnation, boot: news.boot };
+            if let Some(of) = self.by_id.get(&member.update.id) {
+                let update = &member.update;
+                holds[*of] = Held {
+                    standing: Some(update.state),
+                    incarnation: update.incarnation,
+                    boot: update.boot,
+                };
             }
         }
         holds
--- a/crates/mesh/src/members.rs
+++ b/crates/mesh/src/members.rs
@@ -141,7 +141,7 @@
         let after = members.published().view;
         assert!(after.version > before.version, "{} after {}", after.version, before.version);
         assert!(after.incarnation > before.incarnation);
-        let me = after.members.iter().find(|member| member.news.id == after.me).expect("this member");
-        assert_eq!(me.news.state, cottonpoint_peers::MemberState::Left);
+        let me = after.members.iter().find(|member| member.update.id == after.me).expect("this member");
+        assert_eq!(me.update.state, cottonpoint_peers::MemberState::Left);
     }
 }
--- a/crates/mesh/src/tests.rs
+++ b/crates/mesh/src/tests.rs
@@ -59,8 +59,8 @@
 
 fn state(handle: &Handle, name: &str) -> Option<MemberState> {
     let snapshot = handle.snapshot();
-    let member = snapshot.view.members.iter().find(|member| member.news.id == id_of(name));
-    member.map(|member| member.news.state)
+    let member = snapshot.view.members.iter().find(|member| member.update.id == id_of(name));
+    member.map(|member| member.update.state)
 }
 
 /// Guards against members that don't find each other, a leave that is not received, commands that
@@ -127,8 +127,8 @@
     let before = two.snapshot().view.version;
     let boot = |handle: &Handle, name: &str| {
         let snapshot = handle.snapshot();
-        let member = snapshot.view.members.iter().find(|member| member.news.name == name);
-        member.map(|member| member.news.boot)
+        let member = snapshot.view.members.iter().find(|member| member.update.name == name);
+        member.map(|member| member.update.boot)
     };
     let first_boot = boot(&one, "two");
     two.tell(Command::Panic);
--- a/crates/peers/src/interface.rs
+++ b/crates/peers/src/interface.rs
@@ -169,7 +169,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// The latest update about the member.
-    pub news: Update,
+    pub update: Update,
     /// When the member entered its current state.
     pub since: Time,
 }
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -105,9 +105,9 @@
 
     /// The fleet as this member sees it now.
     pub fn view(&self) -> View {
-        let me = Member { news: self.local.update.clone(), since: self.local.since };
+        let me = Member { update: self.local.update.clone(), since: self.local.since };
         let mut members: Vec<_> = self.table.members().chain([me]).collect();
-        members.sort_by_key(|member| member.news.id);
+        members.sort_by_key(|member| member.update.id);
         View {
             version: self.version.0,
             me: self.settings.me,
@@ -131,9 +131,9 @@
     /// Suspects count as answering until their timeout expires; otherwise each lost packet would
     /// make the whole fleet look partitioned.
     fn partition_status(&self, members: &[Member]) -> PartitionStatus {
-        let not_left = || members.iter().filter(|member| member.news.state != MemberState::Left);
-        let lowest = not_left().next().is_some_and(|lowest| lowest.news.state.is_alive());
-        let alive = not_left().filter(|member| member.news.state.is_alive()).count();
+        let not_left = || members.iter().filter(|member| member.update.state != MemberState::Left);
+        let lowest = not_left().next().is_some_and(|lowest| lowest.update.state.is_alive());
+        let alive = not_left().filter(|member| member.update.state.is_alive()).count();
         let all = not_left().count();
         match () {
             () if !self.has_met_peer => PartitionStatus::Alone,
--- a/crates/peers/src/table.rs
+++ b/crates/peers/src/table.rs
@@ -131,6 +131,6 @@
 
     /// All members, sorted by id.
     pub(crate) fn members(&self) -> impl Iterator<Item = Member> {
-        self.members.values().map(|(update, since)| Member { news: update.clone(), since: *since })
+        self.members.values().map(|(update, since)| Member { update: update.clone(), since: *since })
     }
 }
--- a/crates/peers/tests/common/mod.rs
+++ b/crates/peers/tests/common/mod.rs
@@ -175,7 +175,7 @@
     /// The state in which one member holds another.
     pub fn state(&self, at: usize, of: usize) -> Option<MemberState> {
         let view = self.members[at].as_ref()?.view();
-        view.members.iter().find(|member| member.news.id == id(of)).map(|member| member.news.state)
+        view.members.iter().find(|member| member.update.id == id(of)).map(|member| member.update.state)
     }
 
     pub fn peers(&self, at: usize) -> &Peers {
@@ -188,7 +188,7 @@
         live.iter().all(|at| {
             let view = self.peers(*at).view();
             let held: BTreeMap<_, _> =
-                view.members.iter().map(|member| (member.news.id, member.news.state)).collect();
+                view.members.iter().map(|member| (member.update.id, member.update.state)).collect();
             live.iter().all(|of| at == of || held.get(&id(*of)).is_some_and(|held| good(*at, *of, *held)))
         })
     }
--- a/crates/peers/tests/model.rs
+++ b/crates/peers/tests/model.rs
@@ -86,7 +86,7 @@
         let during = if matches!(fault, Fault::Restart(_)) { Fault::None } else { fault };
         let dead = |world: &World| {
             let view = world.members[0].as_ref().unwrap().view();
-            view.members.iter().any(|member| !member.news.state.is_alive())
+            view.members.iter().any(|member| !member.update.state.is_alive())
         };
         while !dead(&world) {
             world.run(1, during);
@@ -177,10 +177,10 @@
         for at in 0..self.members.len() {
             let Some(peers) = &self.members[at] else { continue };
             for member in peers.view().members {
-                let of = member.news.id.0 as usize;
+                let of = member.update.id.0 as usize;
                 let highest_incarnation = self.highest_incarnation.entry((at, of)).or_insert(0);
-                self.incarnation_went_back |= member.news.incarnation < *highest_incarnation;
-                *highest_incarnation = member.news.incarnation;
+                self.incarnation_went_back |= member.update.incarnation < *highest_incarnation;
+                *highest_incarnation = member.update.incarnation;
             }
         }
     }
@@ -190,7 +190,7 @@
         let live =
             |of: MemberId| (0..self.members.len()).any(|at| id(at) == of && self.members[at].is_some());
         let members = self.members.iter().flatten().flat_map(|peers| peers.view().members);
-        let dead = members.filter(move |member| !member.news.state.is_alive() && live(member.news.id));
+        let dead = members.filter(move |member| !member.update.state.is_alive() && live(member.update.id));
         dead.map(|member| self.now.since(member.since.max(self.last_fault)))
     }
 
--- a/crates/peers/tests/network.rs
+++ b/crates/peers/tests/network.rs
@@ -143,7 +143,7 @@
                     .view()
                     .members
                     .iter()
-                    .any(|member| member.news.id == id(4) && member.news.boot == 9)
+                    .any(|member| member.update.id == id(4) && member.update.boot == 9)
             };
             (0..4).all(boot) && net.all_hold(|_, _, state| state == MemberState::Reachable)
         };
--- a/crates/peers/tests/properties.rs
+++ b/crates/peers/tests/properties.rs
@@ -162,7 +162,7 @@
         net.run(bounds::known_to_all(members, T));
         prop_assert!(whole(&net));
         let held = |net: &Net| -> Vec<Vec<Update>> {
-            let updates = |at| net.peers(at).view().members.into_iter().map(|member| member.news).collect();
+            let updates = |at| net.peers(at).view().members.into_iter().map(|member| member.update).collect();
             (0..members).map(updates).collect()
         };
         let (before, sent) = (held(&net), net.sent.clone());
--- a/crates/peers/tests/rules.rs
+++ b/crates/peers/tests/rules.rs
@@ -57,7 +57,7 @@
     }
     let members = peers.view().members;
     assert_eq!(members.len(), MEMBERS_LIMIT);
-    assert!(members.iter().all(|member| member.news.state == MemberState::Reachable));
+    assert!(members.iter().all(|member| member.update.state == MemberState::Reachable));
     assert_eq!(peers.counts().forgotten, 2);
     assert!(peers.counts().full > 0);
 }
@@ -75,7 +75,7 @@
     );
     let holds = |peers: &mut Peers, at: u64, of| {
         peers.handle(NOW + Duration::from_secs(at), Event::Wake, &mut Vec::new());
-        peers.view().members.iter().any(|member| member.news.id == id(of))
+        peers.view().members.iter().any(|member| member.update.id == id(of))
     };
     assert!(holds(&mut peers, 290, 3) && !holds(&mut peers, 310, 3));
     assert!(holds(&mut peers, 3590, 2) && !holds(&mut peers, 3620, 2));
@@ -90,7 +90,7 @@
     let own = Update { incarnation: u64::MAX, ..report(0, MemberState::Dead, 0) };
     deliver(&mut peers, NOW, 1, Body::Ping { nonce: 1 }, vec![initial_update(2), implausible, own]);
     assert_eq!((peers.counts().absurd, peers.view().incarnation), (2, 1));
-    assert_eq!(peers.view().members[2].news, initial_update(2));
+    assert_eq!(peers.view().members[2].update, initial_update(2));
 }
 
 /// Guards against one suspicion passed on by many members that counts as many, and invented ids
@@ -104,7 +104,7 @@
             let suspected = vec![report(9, MemberState::Suspected, *by)];
             deliver(&mut peers, NOW, 1 + from, Body::Ping { nonce: 1 }, suspected);
         }
-        let dead = |peers: &Peers| peers.view().members[9].news.state == MemberState::Dead;
+        let dead = |peers: &Peers| peers.view().members[9].update.state == MemberState::Dead;
         (0..200).find(|quarter| {
             let (now, mut actions) = (NOW + T / 4 * *quarter, Vec::new());
             peers.handle(now, Event::Wake, &mut actions);
@@ -224,7 +224,7 @@
             peers.handle(now + T / 10 * tenth, Event::Wake, &mut Vec::new());
         }
         let members = peers.view().members;
-        members.iter().find(|member| member.news.id == id(1)).map(|member| member.news.state)
+        members.iter().find(|member| member.update.id == id(1)).map(|member| member.update.state)
     };
     assert_eq!(standing_after_a_period(true), Some(MemberState::Suspected));
     assert_eq!(standing_after_a_period(false), Some(MemberState::Reachable));
--- a/crates/program/src/fleet.rs
+++ b/crates/program/src/fleet.rs
@@ -128,22 +128,22 @@
         .members
         .iter()
         .map(|member| {
-            let news = &member.news;
+            let update = &member.update;
             json!({
-                "name": news.name,
-                "id": id(news.id.0),
-                "address": news.address.to_string(),
-                "incarnation": news.incarnation,
-                "boot": id(news.boot),
-                "standing": standing(news.state),
+                "name": update.name,
+                "id": id(update.id.0),
+                "address": update.address.to_string(),
+                "incarnation": update.incarnation,
+                "boot": id(update.boot),
+                "standing": standing(update.state),
                 "since_ms": u64::try_from(now.since(member.since).as_millis()).unwrap_or(u64::MAX),
             })
         })
         .collect();
-    let me = view.members.iter().find(|member| member.news.id == view.me);
+    let me = view.members.iter().find(|member| member.update.id == view.me);
     json!({
         "me": id(view.me.0),
-        "name": me.map(|me| me.news.name.as_str()),
+        "name": me.map(|me| me.update.name.as_str()),
         "incarnation": view.incarnation,
         "part": part(view.partition),
         "unwell": view.unwell,
@@ -188,7 +188,7 @@
 /// For the metrics: members by standing, and datagrams by what became of them.
 pub fn counted(fleet: &Handle) -> [Vec<(&'static str, u64)>; 2] {
     let (snapshot, shell) = (fleet.snapshot(), fleet.figures());
-    let held = |of| snapshot.view.members.iter().filter(|member| member.news.state == of).count();
+    let held = |of| snapshot.view.members.iter().filter(|member| member.update.state == of).count();
     let all = [MemberState::Reachable, MemberState::Suspected, MemberState::Dead, MemberState::Left];
     let members = all.iter().map(|&of| (standing(of), held(of) as u64)).collect();
     let mut datagrams = vec![
