--- a/crates/mesh/src/tests.rs
+++ b/crates/mesh/src/tests.rs
@@ -18,7 +18,7 @@
         incarnation: 1 + n,
         boot: n << 40,
         state: MemberState::Reachable,
-        by: id_of("member-0"),
+        reported_by: id_of("member-0"),
     };
     let nonce = 7;
     Packet { from: update(0), body: Body::Ping { nonce }, updates: (1..=updates).map(update).collect() }
--- a/crates/peers/src/interface.rs
+++ b/crates/peers/src/interface.rs
@@ -83,7 +83,7 @@
     /// The member that reported this: for a suspicion the member whose own probe went unanswered,
     /// otherwise (and where that is not known) the subject itself. It distinguishes independent
     /// suspicions from a suspicion that was passed on.
-    pub by: MemberId,
+    pub reported_by: MemberId,
 }
 
 /// The purpose of a packet and its parameters.
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -39,7 +39,7 @@
             incarnation: settings.incarnation.clamp(1, INCARNATION_LIMIT - 1),
             boot: settings.boot,
             state: MemberState::Reachable,
-            by: settings.me,
+            reported_by: settings.me,
         };
         Peers {
             random: Random::new(settings.seed),
--- a/crates/peers/src/table.rs
+++ b/crates/peers/src/table.rs
@@ -69,7 +69,7 @@
     /// Sets who reported the update held of a member and leaves the rest of it unchanged.
     pub(crate) fn set_reporter(&mut self, id: MemberId, by: MemberId) {
         if let Some((update, _)) = self.members.get_mut(&id) {
-            update.by = by;
+            update.reported_by = by;
         }
     }
 
--- a/crates/peers/src/updates.rs
+++ b/crates/peers/src/updates.rs
@@ -65,7 +65,7 @@
         update.state = MemberState::Suspected;
     }
     if update.state != MemberState::Suspected {
-        update.by = update.id;
+        update.reported_by = update.id;
     }
     update
 }
@@ -96,7 +96,7 @@
         if update.state == MemberState::Suspected
             && held == Some((update.incarnation, MemberState::Suspected))
         {
-            self.confirm_suspicion(update.id, update.by);
+            self.confirm_suspicion(update.id, update.reported_by);
         }
         false
     }
@@ -132,7 +132,7 @@
             let expected_confirmations = bounds::confirmations(members);
             let suspicion = Suspicion {
                 start: self.now,
-                suspected_by: vec![update.by],
+                suspected_by: vec![update.reported_by],
                 final_ping_sent: false,
                 expected_confirmations,
                 members,
@@ -173,7 +173,8 @@
         let Some(held) = self.table.get(id) else { return };
         match held.state {
             MemberState::Reachable => {
-                let update = Update { state: MemberState::Suspected, by: self.settings.me, ..held.clone() };
+                let update =
+                    Update { state: MemberState::Suspected, reported_by: self.settings.me, ..held.clone() };
                 self.counts.suspicions += 1;
                 self.store_update(update);
             }
@@ -189,7 +190,7 @@
             self.suspicions.iter().filter(|(_, it)| expired(it)).map(|(id, _)| *id).collect();
         for id in expired {
             let Some(held) = self.table.get(id) else { continue };
-            let update = Update { state: MemberState::Dead, by: id, ..held.clone() };
+            let update = Update { state: MemberState::Dead, reported_by: id, ..held.clone() };
             self.counts.deaths += 1;
             self.store_update(update);
         }
--- a/crates/peers/tests/common/mod.rs
+++ b/crates/peers/tests/common/mod.rs
@@ -38,7 +38,7 @@
 /// A member's update about itself at its start.
 pub fn initial_update(at: usize) -> Update {
     let Settings { me, name, address, incarnation, boot, .. } = settings(at);
-    Update { id: me, name, address, incarnation, boot, state: MemberState::Reachable, by: me }
+    Update { id: me, name, address, incarnation, boot, state: MemberState::Reachable, reported_by: me }
 }
 
 pub struct Net {
--- a/crates/peers/tests/properties.rs
+++ b/crates/peers/tests/properties.rs
@@ -37,7 +37,7 @@
             incarnation,
             boot,
             state,
-            by: MemberId(by),
+            reported_by: MemberId(by),
         },
     )
 }
@@ -193,7 +193,7 @@
             incarnation: (1 << 32) + 1,
             boot: u64::MAX,
             state: MemberState::Reachable,
-            by: MemberId(u64::MAX),
+            reported_by: MemberId(u64::MAX),
         };
         let mut peers = Peers::new(Settings { name: "n".repeat(own_name), ..settings(0) }, Time(0));
         let mut actions = Vec::new();
--- a/crates/peers/tests/rules.rs
+++ b/crates/peers/tests/rules.rs
@@ -41,7 +41,7 @@
 }
 
 fn report(of: usize, state: MemberState, by: usize) -> Update {
-    Update { state, by: id(by), ..initial_update(of) }
+    Update { state, reported_by: id(by), ..initial_update(of) }
 }
 
 /// Guards against a table that grows without bound, or that drops a reachable member to hold
