--- a/crates/lab/src/fleet/disabled.rs
+++ b/crates/lab/src/fleet/disabled.rs
@@ -23,8 +23,8 @@
     /// Whether a packet is kept from being sent, by the standing in which its sender holds the receiver.
     pub fn drops(self, packet: &Packet, held: Option<MemberState>) -> bool {
         match self {
-            Disabled::Indirect => matches!(packet.body, Body::PingFor { .. }),
-            Disabled::Exchange => matches!(packet.body, Body::Known),
+            Disabled::Indirect => matches!(packet.body, Body::PingRequest { .. }),
+            Disabled::Exchange => matches!(packet.body, Body::SyncResponse),
             Disabled::Knocks => matches!(packet.body, Body::Ping { .. }) && held == Some(MemberState::Dead),
             Disabled::Refutation | Disabled::Lateness => false,
         }
--- a/crates/peers/src/interface.rs
+++ b/crates/peers/src/interface.rs
@@ -96,7 +96,7 @@
     },
     /// A request for an indirect probe (SWIM's ping-req): asks the receiver to ping a third member
     /// on the sender's behalf.
-    PingFor {
+    PingRequest {
         /// An unpredictable number that the answer echoes.
         nonce: u32,
         /// The member to ping.
@@ -116,9 +116,9 @@
     },
     /// Requests a full state sync: all members that the receiver knows, in as many packets as
     /// needed.
-    Sync,
+    SyncRequest,
     /// One packet of the answer to a sync request; the members are in its updates.
-    Known,
+    SyncResponse,
     /// The sender leaves the fleet.
     Leave,
 }
--- a/crates/peers/src/packets.rs
+++ b/crates/peers/src/packets.rs
@@ -114,7 +114,8 @@
         }
         self.sync_state.answered += 1;
         self.counts.given += 1;
-        let empty = Packet { from: self.local.update.clone(), body: Body::Known, updates: Vec::new() };
+        let empty =
+            Packet { from: self.local.update.clone(), body: Body::SyncResponse, updates: Vec::new() };
         let (mut packet, mut space) = (empty.clone(), RemainingSpace::after(&empty));
         for update in self.table.sync_entries(self.now) {
             if !space.reserve(update) {
@@ -137,7 +138,7 @@
             self.sync_state.source = Some(id);
             self.sync_state.changes = None;
             self.counts.syncs += 1;
-            self.send_to(id, Body::Sync, actions);
+            self.send_to(id, Body::SyncRequest, actions);
         }
     }
 
--- a/crates/peers/src/probe.rs
+++ b/crates/peers/src/probe.rs
@@ -194,7 +194,7 @@
         self.random.shuffle(&mut others);
         others.truncate(bounds::HELPERS);
         if let Some(address) = self.table.get(probe.target).map(|held| held.address) {
-            let body = Body::PingFor { nonce: probe.nonce, target: probe.target, address };
+            let body = Body::PingRequest { nonce: probe.nonce, target: probe.target, address };
             for helper in &others {
                 self.send_to(*helper, body.clone(), actions);
             }
--- a/crates/peers/src/receive.rs
+++ b/crates/peers/src/receive.rs
@@ -58,14 +58,14 @@
     /// After leaving, only requests are answered, with a leave message, as their sender doesn't
     /// know of it yet.
     fn answer_after_leaving(&mut self, packet: &Packet, actions: &mut Vec<Action>) {
-        if matches!(packet.body, Body::Ping { .. } | Body::PingFor { .. } | Body::Sync) {
+        if matches!(packet.body, Body::Ping { .. } | Body::PingRequest { .. } | Body::SyncRequest) {
             self.send(packet.from.address, None, Body::Leave, actions);
         }
     }
 
     /// Processes the updates on a packet, and counts what a sync response changed.
     fn apply_updates(&mut self, packet: &Packet) {
-        let is_sync_response = packet.body == Body::Known;
+        let is_sync_response = packet.body == Body::SyncResponse;
         let source = if is_sync_response { UpdateSource::Sync } else { UpdateSource::Gossip };
         let before = self.version.0;
         packet.updates.iter().take(UPDATES_LIMIT).for_each(|update| {
@@ -83,13 +83,13 @@
         let from = &packet.from;
         match packet.body {
             Body::Ping { nonce } => self.send(from.address, Some(from), Body::Ack { nonce }, actions),
-            Body::PingFor { nonce, target, address } => {
+            Body::PingRequest { nonce, target, address } => {
                 self.ping_for_requester(from, nonce, target, address, actions)
             }
             Body::Ack { nonce } => self.handle_ack(from.id, nonce, actions),
             Body::Nack { nonce } => self.handle_nack(from.id, nonce),
-            Body::Sync => self.answer_sync_request(from, actions),
-            Body::Known | Body::Leave => {}
+            Body::SyncRequest => self.answer_sync_request(from, actions),
+            Body::SyncResponse | Body::Leave => {}
         }
     }
 
--- a/crates/peers/tests/properties.rs
+++ b/crates/peers/tests/properties.rs
@@ -45,15 +45,15 @@
 fn any_packet() -> impl Strategy<Value = Packet> {
     let body = prop_oneof![
         any::<u32>().prop_map(|nonce| Body::Ping { nonce }),
-        (any::<u32>(), 0..9u64, 0..9usize).prop_map(|(nonce, target, at)| Body::PingFor {
+        (any::<u32>(), 0..9u64, 0..9usize).prop_map(|(nonce, target, at)| Body::PingRequest {
             nonce,
             target: MemberId(target),
             address: address(at)
         }),
         any::<u32>().prop_map(|nonce| Body::Ack { nonce }),
         any::<u32>().prop_map(|nonce| Body::Nack { nonce }),
-        Just(Body::Sync),
-        Just(Body::Known),
+        Just(Body::SyncRequest),
+        Just(Body::SyncResponse),
         Just(Body::Leave),
     ];
     // Half of the senders describe themselves as a correct member does.
--- a/crates/peers/tests/rules.rs
+++ b/crates/peers/tests/rules.rs
@@ -50,10 +50,10 @@
 fn full_table_drops_the_longest_dead_and_never_a_reachable_member() {
     let mut peers = started();
     let dead: Vec<_> = (2000..2002).map(|at| report(at, MemberState::Dead, at)).collect();
-    deliver(&mut peers, NOW, 1, Body::Known, dead);
+    deliver(&mut peers, NOW, 1, Body::SyncResponse, dead);
     for from in (2..1100).step_by(90) {
         let some = (from..from + 90).map(initial_update).collect();
-        deliver(&mut peers, NOW + T / 1000, 1, Body::Known, some);
+        deliver(&mut peers, NOW + T / 1000, 1, Body::SyncResponse, some);
     }
     let members = peers.view().members;
     assert_eq!(members.len(), MEMBERS_LIMIT);
@@ -70,7 +70,7 @@
         &mut peers,
         NOW,
         1,
-        Body::Known,
+        Body::SyncResponse,
         vec![report(2, MemberState::Dead, 2), report(3, MemberState::Left, 3)],
     );
     let holds = |peers: &mut Peers, at: u64, of| {
@@ -99,7 +99,7 @@
 fn only_independent_suspicions_confirm() {
     let quarters_until_death = |by: &[usize]| {
         let mut peers = started();
-        deliver(&mut peers, NOW, 1, Body::Known, (1..10).map(initial_update).collect());
+        deliver(&mut peers, NOW, 1, Body::SyncResponse, (1..10).map(initial_update).collect());
         for (from, by) in by.iter().enumerate() {
             let suspected = vec![report(9, MemberState::Suspected, *by)];
             deliver(&mut peers, NOW, 1 + from, Body::Ping { nonce: 1 }, suspected);
@@ -125,7 +125,7 @@
 /// Guards against a helper that never sends a nack, or sends one for a member that has answered.
 #[test]
 fn helper_answers_with_ack_or_nack() {
-    let request = Body::PingFor { nonce: 7, target: id(2), address: address(2) };
+    let request = Body::PingRequest { nonce: 7, target: id(2), address: address(2) };
     let mut peers = started();
     let sent = deliver(&mut peers, NOW, 1, request.clone(), vec![]);
     let Some(Body::Ping { nonce }) = bodies(&sent).first().copied().cloned() else { panic!("{sent:?}") };
@@ -144,8 +144,8 @@
 fn two_sync_requests_are_answered_in_a_period() {
     let mut peers = started();
     let answered = |peers: &mut Peers| {
-        let actions = deliver(peers, NOW, 1, Body::Sync, vec![]);
-        bodies(&actions).contains(&&Body::Known)
+        let actions = deliver(peers, NOW, 1, Body::SyncRequest, vec![]);
+        bodies(&actions).contains(&&Body::SyncResponse)
     };
     assert_eq!([(); 4].map(|()| answered(&mut peers)), [true, true, false, false]);
     assert_eq!(peers.counts().withheld, 2);
@@ -156,7 +156,7 @@
 #[test]
 fn late_answers_lengthen_timeouts_and_silence_does_not() {
     let mut peers = started();
-    deliver(&mut peers, NOW, 1, Body::Known, (1..6).map(initial_update).collect());
+    deliver(&mut peers, NOW, 1, Body::SyncResponse, (1..6).map(initial_update).collect());
     let mut pinged = Vec::new();
     for third in 1..=12 {
         let mut actions = Vec::new();
@@ -181,7 +181,7 @@
 #[test]
 fn suspect_is_pinged_in_its_last_period_whichever_member_suspects_it() {
     let mut peers = started();
-    deliver(&mut peers, NOW, 1, Body::Known, (1..60).map(initial_update).collect());
+    deliver(&mut peers, NOW, 1, Body::SyncResponse, (1..60).map(initial_update).collect());
     for by in 1..5 {
         deliver(&mut peers, NOW, by, Body::Ping { nonce: 1 }, vec![report(59, MemberState::Suspected, by)]);
     }
@@ -207,7 +207,7 @@
 fn member_is_not_suspected_when_its_ping_could_not_be_sent() {
     let standing_after_a_period = |sent: bool| {
         let mut peers = started();
-        let mut actions = deliver(&mut peers, NOW, 1, Body::Known, vec![]);
+        let mut actions = deliver(&mut peers, NOW, 1, Body::SyncResponse, vec![]);
         let mut now = NOW;
         while pings(&actions).is_empty() {
             now = now + T / 10;
