--- a/crates/mesh/src/pool.rs
+++ b/crates/mesh/src/pool.rs
@@ -295,7 +295,7 @@
             if let Err(error) = self.send(to, &packet)
                 && is_local_failure(&error)
             {
-                self.handle_event(Event::NotSent(&packet));
+                self.handle_event(Event::SendFailed(&packet));
             }
         }
     }
--- a/crates/peers/src/interface.rs
+++ b/crates/peers/src/interface.rs
@@ -148,7 +148,7 @@
     Join,
     /// A packet could not be sent because of a fault of this process, so the lack of an answer says
     /// nothing about the receiver.
-    NotSent(&'a Packet),
+    SendFailed(&'a Packet),
 }
 
 /// An output of the state machine, carried out by the embedder.
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -93,7 +93,7 @@
             Event::Wake => {}
             Event::Leave => self.leave(),
             Event::Join => self.join(),
-            Event::NotSent(packet) => self.handle_send_failure(&packet.body),
+            Event::SendFailed(packet) => self.handle_send_failure(&packet.body),
         }
         self.run_due_actions(actions);
         let next = self.next_wake();
--- a/crates/peers/tests/rules.rs
+++ b/crates/peers/tests/rules.rs
@@ -217,7 +217,7 @@
         if !sent {
             for action in &actions {
                 let Action::Send { packet, .. } = action else { continue };
-                peers.handle(now, Event::NotSent(packet), &mut Vec::new());
+                peers.handle(now, Event::SendFailed(packet), &mut Vec::new());
             }
         }
         for tenth in 1..=10 {
