--- a/crates/peers/src/interface.rs
+++ b/crates/peers/src/interface.rs
@@ -204,7 +204,7 @@
     pub partition: PartitionStatus,
     /// The local health score of this member (Lifeguard): 0 is healthy. The member multiplies its
     /// own timeouts by the score plus one.
-    pub unwell: u32,
+    pub local_health: u32,
 }
 
 /// Event counters, which only grow.
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -114,7 +114,7 @@
             incarnation: self.local.update.incarnation,
             partition: self.partition_status(&members),
             members,
-            unwell: self.local_health,
+            local_health: self.local_health,
         }
     }
 
--- a/crates/peers/tests/network.rs
+++ b/crates/peers/tests/network.rs
@@ -166,7 +166,10 @@
         net.resume(3);
         let back = |net: &Net| net.all_hold(|_, _, state| state == MemberState::Reachable);
         net.run(T / 100);
-        assert!(net.peers(3).view().unwell > 0 && net.peers(3).counts().late > 0, "{stalled_periods}");
+        assert!(
+            net.peers(3).view().local_health > 0 && net.peers(3).counts().late > 0,
+            "{stalled_periods}"
+        );
         assert!(net.run_until(bounds::refutation_round(10, T), back), "{stalled_periods}");
         assert_eq!(net.peers(3).counts().deaths, 0, "{stalled_periods}");
     }
--- a/crates/peers/tests/rules.rs
+++ b/crates/peers/tests/rules.rs
@@ -165,7 +165,7 @@
         pinged.extend(pings(&actions).into_iter().filter(|_| third < 9));
     }
     assert!(peers.counts().suspicions >= 2);
-    assert_eq!((peers.view().unwell, peers.counts().late), (0, 0));
+    assert_eq!((peers.view().local_health, peers.counts().late), (0, 0));
     // These are pings to suspects as well as probes. Each probe counts once, however often its
     // answer arrives.
     for _ in 0..3 {
@@ -173,7 +173,7 @@
             deliver(&mut peers, NOW + T * 4 + T / 50, *to, Body::Ack { nonce: *nonce }, vec![]);
         }
     }
-    assert_eq!(u64::from(peers.view().unwell), peers.counts().suspicions, "{:?}", peers.counts());
+    assert_eq!(u64::from(peers.view().local_health), peers.counts().suspicions, "{:?}", peers.counts());
 }
 
 /// Guards against a suspect reported by others that is declared dead without a ping from this
--- a/crates/program/src/fleet.rs
+++ b/crates/program/src/fleet.rs
@@ -146,7 +146,7 @@
         "name": me.map(|me| me.update.name.as_str()),
         "incarnation": view.incarnation,
         "part": part(view.partition),
-        "unwell": view.unwell,
+        "unwell": view.local_health,
         "version": view.version,
         "members": members,
         "counts": counts(&fleet.figures(), &snapshot.counts),
