--- a/crates/peers/src/interface.rs
+++ b/crates/peers/src/interface.rs
@@ -217,9 +217,9 @@
     /// Nacks received from helpers.
     pub nacks: u64,
     /// Pings sent on behalf of other members.
-    pub helped: u64,
+    pub indirect_pings: u64,
     /// Pings outside the probe schedule: to dead members, to suspects and to seeds.
-    pub knocks: u64,
+    pub extra_pings: u64,
     /// Suspicions raised by this member's own probes.
     pub suspicions: u64,
     /// Suspicions that timed out at this member, which then considered the suspect dead.
@@ -229,24 +229,24 @@
     /// Packets from another process that uses this member's id, and refutations caused by one. A
     /// few are normal after a restart; a count that keeps growing means that two live processes
     /// share one name.
-    pub namesakes: u64,
+    pub name_conflicts: u64,
     /// Full state syncs requested.
-    pub syncs: u64,
+    pub syncs_requested: u64,
     /// Full state syncs answered.
-    pub given: u64,
+    pub syncs_answered: u64,
     /// Sync requests and indirect probe requests declined because too many came at once.
-    pub withheld: u64,
+    pub requests_declined: u64,
     /// Updates dropped because the member table is full.
-    pub full: u64,
+    pub dropped_table_full: u64,
     /// Members removed because their retention time was over or to make room.
-    pub forgotten: u64,
+    pub members_removed: u64,
     /// Packets and updates dropped for a value that no correct member sends: a name that is too
     /// long, an unusable address, this member's own id, or more updates than a packet may carry.
-    pub bad: u64,
+    pub malformed: u64,
     /// Updates dropped for an incarnation that no correct member reaches.
-    pub absurd: u64,
+    pub implausible_incarnations: u64,
     /// Wakes that came so late that this process must have been stalled.
-    pub late: u64,
+    pub late_wakes: u64,
 }
 
 /// Counters influence no decision: for a model checker, states that differ only in them are equal.
--- a/crates/peers/src/packets.rs
+++ b/crates/peers/src/packets.rs
@@ -109,11 +109,11 @@
     /// Answers a sync request with all members known, in as many packets as needed.
     pub(crate) fn answer_sync_request(&mut self, to: &Update, actions: &mut Vec<Action>) {
         if self.sync_state.answered >= SYNC_RESPONSES_LIMIT {
-            self.counts.withheld += 1;
+            self.counts.requests_declined += 1;
             return;
         }
         self.sync_state.answered += 1;
-        self.counts.given += 1;
+        self.counts.syncs_answered += 1;
         let empty =
             Packet { from: self.local.update.clone(), body: Body::SyncResponse, updates: Vec::new() };
         let (mut packet, mut space) = (empty.clone(), RemainingSpace::after(&empty));
@@ -137,7 +137,7 @@
             self.sync_state.requested = true;
             self.sync_state.source = Some(id);
             self.sync_state.changes = None;
-            self.counts.syncs += 1;
+            self.counts.syncs_requested += 1;
             self.send_to(id, Body::SyncRequest, actions);
         }
     }
--- a/crates/peers/src/probe.rs
+++ b/crates/peers/src/probe.rs
@@ -31,7 +31,7 @@
     /// fault. Suspicions get their whole timeout again, the local health score increases, and a
     /// sync fetches what was missed.
     pub(crate) fn handle_stall(&mut self, late: Duration) {
-        self.counts.late += 1;
+        self.counts.late_wakes += 1;
         for suspicion in self.suspicions.values_mut() {
             suspicion.start = suspicion.start + late;
         }
@@ -303,7 +303,7 @@
     /// Pings a random one of these members outside the probe schedule.
     fn ping_random(&mut self, candidates: &[MemberId], actions: &mut Vec<Action>) {
         if let Some(id) = self.random.choose(candidates) {
-            self.counts.knocks += 1;
+            self.counts.extra_pings += 1;
             let nonce = self.random.nonce();
             self.send_to(id, Body::Ping { nonce }, actions);
         }
@@ -319,7 +319,7 @@
         let unknown: Vec<_> =
             self.settings.seeds.iter().filter(|seed| !known.contains(seed)).copied().collect();
         if let Some(seed) = self.random.choose(&unknown) {
-            self.counts.knocks += 1;
+            self.counts.extra_pings += 1;
             let nonce = self.random.nonce();
             self.send(seed, None, Body::Ping { nonce }, actions);
         }
--- a/crates/peers/src/receive.rs
+++ b/crates/peers/src/receive.rs
@@ -18,7 +18,7 @@
             return self.handle_packet_with_own_id(from);
         }
         if !self.has_valid_sender(packet) {
-            self.counts.bad += 1;
+            self.counts.malformed += 1;
             return;
         }
         if self.has_left() {
@@ -37,9 +37,9 @@
     /// to it.
     fn handle_packet_with_own_id(&mut self, from: &Update) {
         if from.boot == self.settings.boot {
-            self.counts.bad += 1;
+            self.counts.malformed += 1;
         } else {
-            self.counts.namesakes += 1;
+            self.counts.name_conflicts += 1;
             self.handle_update_about_self(from);
         }
     }
@@ -75,7 +75,7 @@
             self.sync_state.changes =
                 Some(self.sync_state.changes.unwrap_or(0) + (self.version.0 - before));
         }
-        self.counts.bad += packet.updates.len().saturating_sub(UPDATES_LIMIT) as u64;
+        self.counts.malformed += packet.updates.len().saturating_sub(UPDATES_LIMIT) as u64;
     }
 
     /// Responds to the body of a packet.
@@ -106,11 +106,11 @@
             return self.send(requester.address, Some(requester), Body::Ack { nonce }, actions);
         }
         if !is_usable(address) || address == self.settings.address {
-            self.counts.bad += 1;
+            self.counts.malformed += 1;
             return;
         }
         if self.indirect_pings.len() >= INDIRECT_PINGS_LIMIT {
-            self.counts.withheld += 1;
+            self.counts.requests_declined += 1;
             return;
         }
         let own_nonce = self.random.nonce();
@@ -122,7 +122,7 @@
             requester_nonce: nonce,
             deadline,
         });
-        self.counts.helped += 1;
+        self.counts.indirect_pings += 1;
         let first = self.table.get(target).filter(|held| held.state != MemberState::Reachable).cloned();
         self.send_with(address, Some(target), first, Body::Ping { nonce: own_nonce }, actions);
     }
--- a/crates/peers/src/updates.rs
+++ b/crates/peers/src/updates.rs
@@ -75,7 +75,7 @@
     /// not alive here.
     pub(crate) fn apply_update(&mut self, update: &Update, source: UpdateSource) -> bool {
         if !self.is_well_formed(update) {
-            self.counts.bad += 1;
+            self.counts.malformed += 1;
             return false;
         }
         if update.id == self.settings.me {
@@ -86,7 +86,7 @@
         if update.incarnation
             > highest_accepted_incarnation(source, held.map(|(incarnation, _)| incarnation))
         {
-            self.counts.absurd += 1;
+            self.counts.implausible_incarnations += 1;
             return false;
         }
         let update = as_stored(update, source, held.map(|(_, state)| state));
@@ -117,7 +117,7 @@
             match self.table.longest_not_alive().filter(|_| state.is_alive()) {
                 Some(removable) => self.remove_member(removable),
                 None => {
-                    self.counts.full += 1;
+                    self.counts.dropped_table_full += 1;
                     return false;
                 }
             }
@@ -201,7 +201,7 @@
         self.table.remove(id);
         self.suspicions.remove(&id);
         self.gossip.remove(id);
-        self.counts.forgotten += 1;
+        self.counts.members_removed += 1;
         self.bump_version();
     }
 
@@ -221,7 +221,7 @@
             .saturating_add(OWN_INCARNATION_STEP)
             .min(INCARNATION_LIMIT - 2);
         if update.incarnation > highest {
-            self.counts.absurd += 1;
+            self.counts.implausible_incarnations += 1;
             return;
         }
         if self.local.pending_refutation.is_none_or(|pending| update.incarnation >= pending.incarnation) {
@@ -245,7 +245,7 @@
         let interval = self.settings.period / if pending.name_conflict { 1 } else { 4 };
         self.local.next_refutation = self.now + interval;
         if pending.name_conflict {
-            self.counts.namesakes += 1;
+            self.counts.name_conflicts += 1;
         } else {
             // Other members did not receive its answers, which may well be this member's own fault.
             self.counts.refutations += 1;
--- a/crates/peers/tests/network.rs
+++ b/crates/peers/tests/network.rs
@@ -149,7 +149,7 @@
         };
         assert!(net.run_until(bounds::refutation_round(5, T), new), "{periods_down}");
         assert!(
-            net.peers(4).view().incarnation > 1 && net.peers(4).counts().namesakes <= 3,
+            net.peers(4).view().incarnation > 1 && net.peers(4).counts().name_conflicts <= 3,
             "{periods_down}"
         );
     }
@@ -167,7 +167,7 @@
         let back = |net: &Net| net.all_hold(|_, _, state| state == MemberState::Reachable);
         net.run(T / 100);
         assert!(
-            net.peers(3).view().local_health > 0 && net.peers(3).counts().late > 0,
+            net.peers(3).view().local_health > 0 && net.peers(3).counts().late_wakes > 0,
             "{stalled_periods}"
         );
         assert!(net.run_until(bounds::refutation_round(10, T), back), "{stalled_periods}");
@@ -184,7 +184,7 @@
     net.run(T * 20);
     let (before, raised) = (net.sent.len(), net.peers(5).view().incarnation);
     net.run(T * 100);
-    assert!(net.peers(4).counts().namesakes > 10 && net.peers(5).counts().namesakes > 10);
+    assert!(net.peers(4).counts().name_conflicts > 10 && net.peers(5).counts().name_conflicts > 10);
     assert!(net.peers(5).view().incarnation - raised <= 2 * 101);
     // A ping, its ack, a ping outside the schedule and the traffic of a suspicion per member and
     // period.
--- a/crates/peers/tests/rules.rs
+++ b/crates/peers/tests/rules.rs
@@ -58,8 +58,8 @@
     let members = peers.view().members;
     assert_eq!(members.len(), MEMBERS_LIMIT);
     assert!(members.iter().all(|member| member.update.state == MemberState::Reachable));
-    assert_eq!(peers.counts().forgotten, 2);
-    assert!(peers.counts().full > 0);
+    assert_eq!(peers.counts().members_removed, 2);
+    assert!(peers.counts().dropped_table_full > 0);
 }
 
 /// Guards against dead members that are kept forever, or for another time than specified.
@@ -89,7 +89,7 @@
     let implausible = Update { incarnation: u64::MAX, ..report(2, MemberState::Dead, 2) };
     let own = Update { incarnation: u64::MAX, ..report(0, MemberState::Dead, 0) };
     deliver(&mut peers, NOW, 1, Body::Ping { nonce: 1 }, vec![initial_update(2), implausible, own]);
-    assert_eq!((peers.counts().absurd, peers.view().incarnation), (2, 1));
+    assert_eq!((peers.counts().implausible_incarnations, peers.view().incarnation), (2, 1));
     assert_eq!(peers.view().members[2].update, initial_update(2));
 }
 
@@ -148,7 +148,7 @@
         bodies(&actions).contains(&&Body::SyncResponse)
     };
     assert_eq!([(); 4].map(|()| answered(&mut peers)), [true, true, false, false]);
-    assert_eq!(peers.counts().withheld, 2);
+    assert_eq!(peers.counts().requests_declined, 2);
 }
 
 /// Guards against timeouts that grow because other members are silent, which would delay the
@@ -165,7 +165,7 @@
         pinged.extend(pings(&actions).into_iter().filter(|_| third < 9));
     }
     assert!(peers.counts().suspicions >= 2);
-    assert_eq!((peers.view().local_health, peers.counts().late), (0, 0));
+    assert_eq!((peers.view().local_health, peers.counts().late_wakes), (0, 0));
     // These are pings to suspects as well as probes. Each probe counts once, however often its
     // answer arrives.
     for _ in 0..3 {
