--- a/crates/lab/src/prove/peers.rs
+++ b/crates/lab/src/prove/peers.rs
@@ -55,7 +55,7 @@
 
 /// 3 T, the suspicion time once confirmed, and dissemination.
 fn known(n: usize) -> u64 {
-    agreement_bound(n) + bound_nanos(bounds::suspicion_least, n)
+    agreement_bound(n) + bound_nanos(bounds::suspicion_min, n)
 }
 
 /// Suspicions that loss alone brings in each member-period: the direct exchange fails, and each helper's.
@@ -174,7 +174,7 @@
             let measured = format!("p50 {p50}, p99 {}, worst {worst} of {}", periods(p99), times.len());
             Claim::new(self.named(what), format!("p99 {} at most", periods(bound)), measured, p99 <= bound)
         };
-        let detected = 3 * T + bound_nanos(bounds::suspicion_most, n);
+        let detected = 3 * T + bound_nanos(bounds::suspicion_max, n);
         vec![
             claim("a crash is known to the first: 3 T + S, unconfirmed", &first, detected),
             claim("a crash is known to all: 3 T + S, unconfirmed", &all, detected),
--- a/crates/peers/src/bounds.rs
+++ b/crates/peers/src/bounds.rs
@@ -55,13 +55,13 @@
 }
 
 /// The minimum suspicion timeout, which applies once enough members have confirmed the suspicion.
-pub fn suspicion_least(n: usize, period: Duration) -> Duration {
+pub fn suspicion_min(n: usize, period: Duration) -> Duration {
     scale(period, u64::from(ALPHA) * log10_at_least_one(n))
 }
 
 /// The maximum suspicion timeout, which applies to a suspicion without confirmations.
-pub fn suspicion_most(n: usize, period: Duration) -> Duration {
-    suspicion_least(n, period).saturating_mul(BETA)
+pub fn suspicion_max(n: usize, period: Duration) -> Duration {
+    suspicion_min(n, period).saturating_mul(BETA)
 }
 
 /// Confirmations that shorten a suspicion timeout in a cluster of `n`: any member other than the
@@ -81,8 +81,8 @@
         (3, 2) => 811,
         _ => ONE,
     };
-    let (least, most) = (suspicion_least(n, period), suspicion_most(n, period));
-    most - scale(most - least, progress)
+    let (min, max) = (suspicion_min(n, period), suspicion_max(n, period));
+    max - scale(max - min, progress)
 }
 
 /// The retransmission limit: how many packets of each member carry the same update.
@@ -104,7 +104,7 @@
 pub fn known_to_all(n: usize, period: Duration) -> Duration {
     period
         .saturating_mul(3)
-        .saturating_add(suspicion_most(n, period))
+        .saturating_add(suspicion_max(n, period))
         .saturating_add(dissemination(n, period))
 }
 
@@ -134,19 +134,18 @@
     /// minimum.
     #[test]
     fn suspicion_timeout_shrinks_to_the_minimum_with_confirmations() {
-        assert_eq!(suspicion_least(10, T), Duration::from_secs(5));
+        assert_eq!(suspicion_min(10, T), Duration::from_secs(5));
         for n in [2, 3, 4, 5, 50, 500] {
             let expected = confirmations(n);
             let times: Vec<_> =
                 (0..=expected).map(|confirmed| suspicion(n, T, confirmed, expected)).collect();
             assert!(times.is_sorted_by(|a, b| a > b), "{n}: {times:?}");
-            assert_eq!(*times.last().unwrap(), suspicion_least(n, T));
-            assert_eq!(times[0], if expected == 0 { suspicion_least(n, T) } else { suspicion_most(n, T) });
+            assert_eq!(*times.last().unwrap(), suspicion_min(n, T));
+            assert_eq!(times[0], if expected == 0 { suspicion_min(n, T) } else { suspicion_max(n, T) });
             for (confirmed, time) in times.iter().enumerate().filter(|_| expected > 0) {
                 let progress = ((confirmed + 1) as f64).ln() / ((expected + 1) as f64).ln();
-                let (most, least) =
-                    (suspicion_most(n, T).as_secs_f64(), suspicion_least(n, T).as_secs_f64());
-                assert!((time.as_secs_f64() - (most - (most - least) * progress)).abs() < 0.002 * most);
+                let (max, min) = (suspicion_max(n, T).as_secs_f64(), suspicion_min(n, T).as_secs_f64());
+                assert!((time.as_secs_f64() - (max - (max - min) * progress)).abs() < 0.002 * max);
             }
         }
     }
