--- a/crates/mesh/src/counts.rs
+++ b/crates/mesh/src/counts.rs
@@ -19,7 +19,7 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct WorkerCounters {
-    pub(crate) taken: Counter,
+    pub(crate) received: Counter,
     pub(crate) refused: [Counter; Refusal::ALL.len()],
     pub(crate) receive_failed: Counter,
     pub(crate) sent: Counter,
@@ -31,9 +31,9 @@
 
 /// The counters of the runtime since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Stats {
     /// Datagrams received whose seal was valid.
-    pub taken: u64,
+    pub received: u64,
     /// Datagrams rejected, in the order of [`Refusal::ALL`].
     pub refused: [u64; Refusal::ALL.len()],
     /// Errors returned by the socket instead of a datagram, for example because no process listens
@@ -52,9 +52,9 @@
 }
 
 impl WorkerCounters {
-    pub(crate) fn figures(&self) -> Figures {
-        Figures {
-            taken: self.taken.get(),
+    pub(crate) fn stats(&self) -> Stats {
+        Stats {
+            received: self.received.get(),
             refused: std::array::from_fn(|i| self.refused[i].get()),
             receive_failed: self.receive_failed.get(),
             sent: self.sent.get(),
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod seal;
 pub mod tables;
 
-pub use counts::Figures;
+pub use counts::Stats;
 pub use pool::{Command, Handle, Mesh, Settings, Snapshot, WORKERS_LIMIT, id_of};
 
 #[cfg(test)]
--- a/crates/mesh/src/pool.rs
+++ b/crates/mesh/src/pool.rs
@@ -3,7 +3,7 @@
 //! state machine runs under it, and packets are sent after it is released. No worker spins or
 //! retries in a loop, and no panic in one affects the sidecar.
 
-use crate::counts::{Figures, WorkerCounters};
+use crate::counts::{Stats, WorkerCounters};
 use crate::lock::{RankedMutex, assert_none_held};
 use crate::members::Members;
 use crate::seal::{DATAGRAM_LIMIT, Key, Seal};
@@ -167,8 +167,8 @@
     }
 
     /// The counters of the runtime.
-    pub fn figures(&self) -> Figures {
-        self.shared.counters.figures()
+    pub fn stats(&self) -> Stats {
+        self.shared.counters.stats()
     }
 
     /// The current time on the clock used in snapshots.
@@ -253,7 +253,7 @@
             match self.socket.recv_from(buffer) {
                 Ok((length, from)) => match self.seal.open(&buffer[..length]) {
                     Ok(packet) => {
-                        self.counters.taken.add();
+                        self.counters.received.add();
                         self.handle_event(Event::Packet(&packet));
                     }
                     Err(refusal) => {
--- a/crates/mesh/src/tests.rs
+++ b/crates/mesh/src/tests.rs
@@ -83,7 +83,7 @@
     drop(second);
     wait_until("the last leave", || state(&one, "two") == Some(MemberState::Left));
     drop(first);
-    assert_eq!((one.figures().panics, one.figures().too_long), (0, 0));
+    assert_eq!((one.stats().panics, one.stats().too_long), (0, 0));
 }
 
 /// Guards against a stranger that is accepted, or rejected without being counted; an unreachable
@@ -107,13 +107,13 @@
     );
     // In the order of Refusal::ALL: too long, version, cluster, key, garbage.
     wait_until("each refusal", || {
-        let refused = one.figures().refused;
+        let refused = one.stats().refused;
         refused[..3] == [1, 2, 1] && refused[3] >= 1 && refused[4] == 1
     });
     assert_eq!(state(&one, "other"), None);
     assert_eq!(state(&other, "one"), None);
-    assert_eq!(one.figures().taken, 0);
-    assert_eq!(one.figures().panics, 0);
+    assert_eq!(one.stats().received, 0);
+    assert_eq!(one.stats().panics, 0);
 }
 
 /// Guards against a panic in the state machine that silently ends the membership, and a member that
@@ -133,7 +133,7 @@
     let first_boot = boot(&one, "two");
     two.tell(Command::Panic);
     wait_until("the restart", || boot(&one, "two") != first_boot && met(&one, "two") && met(&two, "one"));
-    wait_until("the count", || two.figures().panics == 1);
+    wait_until("the count", || two.stats().panics == 1);
     assert!(two.snapshot().view.version > before);
 }
 
@@ -146,5 +146,5 @@
     for _ in 0..100 {
         one.tell(Command::Join);
     }
-    assert_eq!(one.figures().commands_dropped, 36);
+    assert_eq!(one.stats().commands_dropped, 36);
 }
--- a/crates/program/src/fleet.rs
+++ b/crates/program/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::operator::Fleet;
 use async_io::Timer;
 use cottonpoint_mesh::seal::Refusal;
-use cottonpoint_mesh::{Command, Figures, Handle, Mesh, Settings, id_of};
+use cottonpoint_mesh::{Command, Handle, Mesh, Settings, Stats, id_of};
 use cottonpoint_peers::{Counts, MemberState, PartitionStatus};
 use serde_json::{Map, Value, json};
 use std::cell::{Cell, OnceCell, RefCell};
@@ -149,15 +149,15 @@
         "unwell": view.local_health,
         "version": view.version,
         "members": members,
-        "counts": counts(&fleet.figures(), &snapshot.counts),
+        "counts": counts(&fleet.stats(), &snapshot.counts),
     })
 }
 
-fn counts(shell: &Figures, plane: &Counts) -> Value {
+fn counts(shell: &Stats, plane: &Counts) -> Value {
     let refused: Map<String, Value> =
         Refusal::ALL.iter().zip(shell.refused).map(|(why, n)| (why.word().to_owned(), n.into())).collect();
     json!({
-        "datagrams_in": shell.taken,
+        "datagrams_in": shell.received,
         "datagrams_out": shell.sent,
         "refused": refused,
         "receive_failed": shell.receive_failed,
@@ -187,12 +187,12 @@
 
 /// For the metrics: members by standing, and datagrams by what became of them.
 pub fn counted(fleet: &Handle) -> [Vec<(&'static str, u64)>; 2] {
-    let (snapshot, shell) = (fleet.snapshot(), fleet.figures());
+    let (snapshot, shell) = (fleet.snapshot(), fleet.stats());
     let held = |of| snapshot.view.members.iter().filter(|member| member.update.state == of).count();
     let all = [MemberState::Reachable, MemberState::Suspected, MemberState::Dead, MemberState::Left];
     let members = all.iter().map(|&of| (standing(of), held(of) as u64)).collect();
     let mut datagrams = vec![
-        ("taken", shell.taken),
+        ("taken", shell.received),
         ("sent", shell.sent),
         ("receive_failed", shell.receive_failed),
         ("send_failed", shell.send_failed),
