--- a/crates/mesh/src/pool.rs
+++ b/crates/mesh/src/pool.rs
@@ -258,7 +258,7 @@
                     }
                     Err(refusal) => {
                         self.counters.refused[refusal as usize].add();
-                        tracing::warn!(%from, reason = refusal.word(), "datagram rejected");
+                        tracing::warn!(%from, reason = refusal.label(), "datagram rejected");
                     }
                 },
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
--- a/crates/mesh/src/seal.rs
+++ b/crates/mesh/src/seal.rs
@@ -39,22 +39,22 @@
     /// Not signed with any of the keys, or modified in transit.
     Key,
     /// Too short for a seal, or the payload is not a packet, or bytes follow the packet.
-    Garbage,
+    Malformed,
 }
 
 impl Refusal {
     /// All reasons, in the order in which they are checked.
     pub const ALL: [Refusal; 5] =
-        [Refusal::TooLong, Refusal::Version, Refusal::Cluster, Refusal::Key, Refusal::Garbage];
+        [Refusal::TooLong, Refusal::Version, Refusal::Cluster, Refusal::Key, Refusal::Malformed];
 
     /// The label of this reason in metrics and logs.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Refusal::TooLong => "too_long",
             Refusal::Version => "version",
             Refusal::Cluster => "cluster",
             Refusal::Key => "key",
-            Refusal::Garbage => "garbage",
+            Refusal::Malformed => "garbage",
         }
     }
 }
@@ -116,7 +116,7 @@
             return Err(Refusal::Version);
         }
         if datagram.len() < SEAL_LENGTH {
-            return Err(Refusal::Garbage);
+            return Err(Refusal::Malformed);
         }
         if datagram[CLUSTER] != self.cluster {
             return Err(Refusal::Cluster);
@@ -128,7 +128,7 @@
         }
         match postcard::take_from_bytes(&datagram[SEAL_LENGTH..]) {
             Ok((packet, [])) => Ok(packet),
-            _ => Err(Refusal::Garbage),
+            _ => Err(Refusal::Malformed),
         }
     }
 
@@ -202,12 +202,12 @@
         };
         let payload = postcard::to_allocvec(&packet(1)).expect("memory");
         assert_eq!(signed(&payload), Ok(packet(1)));
-        assert_eq!(signed(&[&payload[..], &[0]].concat()), Err(Refusal::Garbage));
+        assert_eq!(signed(&[&payload[..], &[0]].concat()), Err(Refusal::Malformed));
         // Without updates, their count comes last: claim the highest count possible.
         let mut claims = postcard::to_allocvec(&packet(0)).expect("memory");
         assert_eq!(claims.pop(), Some(0));
         claims.extend([0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01]);
-        assert_eq!(signed(&claims), Err(Refusal::Garbage));
+        assert_eq!(signed(&claims), Err(Refusal::Malformed));
         assert_eq!(seal.open(&[VERSION; DATAGRAM_LIMIT + 1]), Err(Refusal::TooLong));
         assert_eq!(seal.seal(&packet(100)), None, "too long to send");
     }
--- a/crates/program/src/fleet.rs
+++ b/crates/program/src/fleet.rs
@@ -155,7 +155,7 @@
 
 fn counts(shell: &Stats, plane: &Counts) -> Value {
     let refused: Map<String, Value> =
-        Refusal::ALL.iter().zip(shell.refused).map(|(why, n)| (why.word().to_owned(), n.into())).collect();
+        Refusal::ALL.iter().zip(shell.refused).map(|(why, n)| (why.label().to_owned(), n.into())).collect();
     json!({
         "datagrams_in": shell.received,
         "datagrams_out": shell.sent,
@@ -197,6 +197,6 @@
         ("receive_failed", shell.receive_failed),
         ("send_failed", shell.send_failed),
     ];
-    datagrams.extend(Refusal::ALL.iter().map(|why| why.word()).zip(shell.refused));
+    datagrams.extend(Refusal::ALL.iter().map(|why| why.label()).zip(shell.refused));
     [members, datagrams]
 }
