--- a/crates/mesh/src/pool.rs
+++ b/crates/mesh/src/pool.rs
@@ -157,7 +157,7 @@
     }
 
     /// Queues a command; if the queue is full, the command is dropped and counted.
-    pub fn tell(&self, command: Command) {
+    pub fn send_command(&self, command: Command) {
         match self.commands.try_send(command) {
             // The write can fail only if the counter is at its maximum, so the event is signalled
             // already.
--- a/crates/mesh/src/tests.rs
+++ b/crates/mesh/src/tests.rs
@@ -74,12 +74,12 @@
             && state(&two, "one") == Some(MemberState::Reachable)
     });
     let before = one.snapshot().view.version;
-    two.tell(Command::Leave);
+    two.send_command(Command::Leave);
     wait_until("the leave", || state(&one, "two") == Some(MemberState::Left));
     assert!(one.snapshot().view.version > before);
-    two.tell(Command::Join);
+    two.send_command(Command::Join);
     wait_until("the rejoin", || state(&one, "two") == Some(MemberState::Reachable));
-    two.tell(Command::Leave);
+    two.send_command(Command::Leave);
     drop(second);
     wait_until("the last leave", || state(&one, "two") == Some(MemberState::Left));
     drop(first);
@@ -131,7 +131,7 @@
         member.map(|member| member.update.boot)
     };
     let first_boot = boot(&one, "two");
-    two.tell(Command::Panic);
+    two.send_command(Command::Panic);
     wait_until("the restart", || boot(&one, "two") != first_boot && met(&one, "two") && met(&two, "one"));
     wait_until("the count", || two.stats().panics == 1);
     assert!(two.snapshot().view.version > before);
@@ -144,7 +144,7 @@
     let (mesh, one, _) = start("one", &[], 1);
     drop(mesh); // No worker takes commands any more.
     for _ in 0..100 {
-        one.tell(Command::Join);
+        one.send_command(Command::Join);
     }
     assert_eq!(one.stats().commands_dropped, 36);
 }
--- a/crates/program/src/fleet.rs
+++ b/crates/program/src/fleet.rs
@@ -92,7 +92,7 @@
     /// Leaves, or is a member again.
     pub fn tell(&self, command: Command) {
         self.left.set(command == Command::Leave);
-        self.handle.get().into_iter().for_each(|handle| handle.tell(command));
+        self.handle.get().into_iter().for_each(|handle| handle.send_command(command));
     }
 
     /// Ends the workers, and waits for them: they are never long in anything.
