--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod tables;
 
 pub use counts::Stats;
-pub use pool::{Command, Handle, Mesh, Settings, Snapshot, WORKERS_LIMIT, id_of};
+pub use pool::{Command, Handle, Mesh, Settings, Snapshot, WORKERS_LIMIT, member_id};
 
 #[cfg(test)]
 mod tests;
--- a/crates/mesh/src/members.rs
+++ b/crates/mesh/src/members.rs
@@ -111,7 +111,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::{id_of, tests::packet};
+    use crate::{member_id, tests::packet};
     use std::panic::{AssertUnwindSafe, catch_unwind};
     use std::time::Duration;
 
@@ -120,7 +120,7 @@
     #[test]
     fn restarted_member_continues_version_incarnation_and_leave() {
         let settings = Settings {
-            me: id_of("me"),
+            me: member_id("me"),
             name: "me".to_owned(),
             address: "127.0.0.1:7001".parse().expect("an address"),
             seeds: Vec::new(),
--- a/crates/mesh/src/pool.rs
+++ b/crates/mesh/src/pool.rs
@@ -36,7 +36,7 @@
 const ERROR_BACKOFF: Duration = Duration::from_millis(10);
 
 /// The id of a member: a hash of its name.
-pub fn id_of(name: &str) -> MemberId {
+pub fn member_id(name: &str) -> MemberId {
     MemberId(xxh3_64(name.as_bytes()))
 }
 
--- a/crates/mesh/src/tests.rs
+++ b/crates/mesh/src/tests.rs
@@ -1,7 +1,7 @@
 //! Workers on real loopback sockets.
 
 use crate::seal::{Key, Seal};
-use crate::{Command, Handle, Mesh, Settings, id_of};
+use crate::{Command, Handle, Mesh, Settings, member_id};
 use cottonpoint_peers::{Body, MemberState, Packet, Update};
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
 use std::time::{Duration, Instant};
@@ -12,13 +12,13 @@
 /// A packet with updates about that many members.
 pub(crate) fn packet(updates: u64) -> Packet {
     let update = |n: u64| Update {
-        id: id_of(&format!("member-{n}")),
+        id: member_id(&format!("member-{n}")),
         name: format!("member-{n}"),
         address: SocketAddrV4::new([127, 0, 0, 1].into(), 7000),
         incarnation: 1 + n,
         boot: n << 40,
         state: MemberState::Reachable,
-        reported_by: id_of("member-0"),
+        reported_by: member_id("member-0"),
     };
     let nonce = 7;
     Packet { from: update(0), body: Body::Ping { nonce }, updates: (1..=updates).map(update).collect() }
@@ -33,7 +33,7 @@
 fn start(name: &str, seeds: &[SocketAddrV4], key: u8) -> (Mesh, Handle, SocketAddrV4) {
     let (socket, address) = bound();
     let peers = cottonpoint_peers::Settings {
-        me: id_of(name),
+        me: member_id(name),
         name: name.to_owned(),
         address,
         seeds: seeds.to_vec(),
@@ -59,7 +59,7 @@
 
 fn state(handle: &Handle, name: &str) -> Option<MemberState> {
     let snapshot = handle.snapshot();
-    let member = snapshot.view.members.iter().find(|member| member.update.id == id_of(name));
+    let member = snapshot.view.members.iter().find(|member| member.update.id == member_id(name));
     member.map(|member| member.update.state)
 }
 
--- a/crates/program/src/fleet.rs
+++ b/crates/program/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::operator::Fleet;
 use async_io::Timer;
 use cottonpoint_mesh::seal::Refusal;
-use cottonpoint_mesh::{Command, Handle, Mesh, Settings, Stats, id_of};
+use cottonpoint_mesh::{Command, Handle, Mesh, Settings, Stats, member_id};
 use cottonpoint_peers::{Counts, MemberState, PartitionStatus};
 use serde_json::{Map, Value, json};
 use std::cell::{Cell, OnceCell, RefCell};
@@ -35,7 +35,7 @@
         let Some(listen) = fleet.listen else { return Ok(None) };
         let name = fleet.name_or(name)?;
         let peers = cottonpoint_peers::Settings {
-            me: id_of(&name),
+            me: member_id(&name),
             name,
             address: fleet.advertise.unwrap_or(listen),
             seeds: fleet.seeds.clone(),
