--- a/crates/mesh/src/members.rs
+++ b/crates/mesh/src/members.rs
@@ -51,7 +51,7 @@
         actions: &mut Vec<Action>,
     ) -> Option<Snapshot> {
         if matches!(event, Event::Wake) && now < self.wake_at {
-            return None; // Another worker was there first.
+            return None; // Another worker has already handled this wake.
         }
         match event {
             Event::Leave => self.left = true,
--- a/crates/mesh/src/tables.rs
+++ b/crates/mesh/src/tables.rs
@@ -1,4 +1,5 @@
-//! The tables shared by the workers. **The order of their locks**, from the first locked to the last:
+//! The tables shared by the workers. **The order of their locks**, from the first locked to the
+//! last:
 //!
 //! | rank | table | content |
 //! | --- | --- | --- |
@@ -8,14 +9,16 @@
 //! | 4 | plans | (planned) the plan table |
 //! | 5 | memory | (planned) state to be persisted |
 //!
-//! A thread that holds one of these locks may lock only those below it in the table ([`RankedMutex`] checks this in
-//! debug builds), and holds none during I/O: packets to send are collected under the lock and sent after it.
+//! A thread that holds one of these locks may lock only those below it in the table
+//! ([`RankedMutex`] checks this in debug builds), and holds none during I/O: packets to send are
+//! collected under the lock and sent after it.
 //!
-//! Each table is changed under its lock and published as a whole snapshot **before the lock is released**. So
-//! snapshots are published in the order of the changes, a reader never sees a table go back, and of two workers
-//! the later one's snapshot remains. Readers take no lock. `tests/loom.rs` runs this code under all thread
-//! interleavings, with loom's lock and, instead of `arc-swap`, a cell that replaces the whole value atomically;
-//! that `arc-swap` does the same is assumed.
+//! Each table is changed under its lock and published as a whole snapshot **before the lock is
+//! released**. So snapshots are published in the order of the changes, a reader never sees a table
+//! go back, and of two workers the later one's snapshot remains. Readers take no lock.
+//! `tests/loom.rs` runs this code under all thread interleavings, with loom's lock and, instead of
+//! `arc-swap`, a cell that replaces the whole value atomically; that `arc-swap` does the same is
+//! assumed.
 
 use crate::lock::{Rank, RankedMutex};
 use arc_swap::ArcSwap;
--- a/crates/peers/src/bounds.rs
+++ b/crates/peers/src/bounds.rs
@@ -19,8 +19,8 @@
 pub const ALPHA: u32 = 5;
 /// Ratio of the maximum to the minimum suspicion timeout (Lifeguard, 5: beta = 6).
 pub const BETA: u32 = 6;
-/// Independent confirmations after which a suspicion timeout is at its minimum (Lifeguard, 5: K =
-/// 3).
+/// Independent confirmations after which a suspicion timeout is at its minimum
+/// (Lifeguard, 5: K = 3).
 pub const CONFIRMATIONS: usize = 3;
 /// Multiplier of the retransmission limit of one update (SWIM, Das, Gupta and Motivala 2002, 4.1:
 /// with lambda · log n transmissions all but n^(2 - 2 lambda) members receive it; 3 leaves room for
@@ -31,8 +31,8 @@
 /// Phases of a period: the first for the direct ping, the second for a helper's ping, the third for
 /// the helper's answer, so that a helper's nack is back before the period ends.
 pub const PROBE_PHASES: u32 = 3;
-/// Upper limit of the local health score, and so of the factor by which a member stretches its own
-/// timeouts (Lifeguard, 5: S = 8).
+/// Upper limit of the local health score (Lifeguard, 5: S = 8). A member multiplies its own timeouts
+/// by the score plus one.
 pub const LOCAL_HEALTH_LIMIT: u32 = 8;
 
 /// 1.0 in the fixed-point format of this module.
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,15 +1,16 @@
 //! Membership of a fleet of sidecars: each member's view of the others.
 //!
-//! This is a state machine without sockets, files, clocks or threads: it takes `(now, event)` and returns the
-//! actions to carry out. `docs/design/peers.md` describes the design, its guarantees and the alternatives
-//! rejected; [`bounds`] has its timing formulas.
+//! This is a state machine without sockets, files, clocks or threads: it takes `(now, event)` and
+//! returns the actions to carry out. `docs/design/peers.md` describes the design, its guarantees
+//! and the alternatives rejected; [`bounds`] has its timing formulas.
 //!
-//! [`Peers`] implements SWIM with Lifeguard's extensions. Each period it probes one member: a direct ping, then
-//! indirect pings through other members, then a suspicion that the suspect can refute under a higher
-//! incarnation. Updates about members are piggybacked on the packets that are sent anyway. For each event it
-//! returns a bounded number of actions, with packets that fit [`PACKET_LIMIT`]; the same events always lead to
-//! the same actions. The embedder must pass a time that never goes back, and a wake soon after the requested
-//! time; a late wake is taken as a sign that the process was stalled.
+//! [`Peers`] implements SWIM with Lifeguard's extensions. Each period it probes one member: a
+//! direct ping, then indirect pings through other members, then a suspicion that the suspect can
+//! refute under a higher incarnation. Updates about members are piggybacked on the packets that are
+//! sent anyway. For each event it returns a bounded number of actions, with packets that fit
+//! [`PACKET_LIMIT`]; the same events always lead to the same actions. The embedder must pass a time
+//! that never goes back, and a wake soon after the requested time; a late wake is taken as a sign
+//! that the process was stalled.
 //!
 //! ```
 //! use cottonpoint_decide::Time;
--- a/crates/peers/src/packets.rs
+++ b/crates/peers/src/packets.rs
@@ -52,8 +52,8 @@
 }
 
 impl Peers {
-    /// Sends a packet with the queued updates. `receiver` is the receiver's own state if it has just been
-    /// received: an update held here that takes precedence over it is put first, so that the
+    /// Sends a packet with the queued updates. `receiver` is the receiver's own state if it has just
+    /// been received: an update held here that takes precedence over it is put first, so that the
     /// receiver can refute it.
     pub(crate) fn send(
         &mut self,
--- a/crates/peers/src/probe.rs
+++ b/crates/peers/src/probe.rs
@@ -28,8 +28,8 @@
 
     /// Handles a wake that came late by `late`: the process was stalled (stopped, swapped out, or
     /// its machine asleep), so the lack of answers, possibly from all members, may be its own
-    /// fault. Suspicions get their whole timeout again, the local health score increases, and a
-    /// sync fetches what was missed.
+    /// fault. Suspicion timeouts are extended by the delay, the current probe is repeated, the local
+    /// health score increases, and a sync fetches what was missed.
     pub(crate) fn handle_stall(&mut self, late: Duration) {
         self.counts.late_wakes += 1;
         for suspicion in self.suspicions.values_mut() {
@@ -250,9 +250,7 @@
     /// because of itself or its links. Silence alone is no evidence of that: in the minority side
     /// of a partition most members are silent, and longer timeouts would only delay the detection.
     fn handle_late_answer(&mut self, from: MemberId, nonce: u32) {
-        let Some(probe) = self.failed_probes.iter_mut().find(|it| it.nonce == nonce) else {
-            return;
-        };
+        let Some(probe) = self.failed_probes.iter_mut().find(|it| it.nonce == nonce) else { return };
         let helper = probe.silent_helpers.iter().position(|id| *id == from);
         let late = match helper {
             Some(at) => {
--- a/crates/peers/src/updates.rs
+++ b/crates/peers/src/updates.rs
@@ -16,8 +16,8 @@
 /// Incarnations up to this one are accepted from other members regardless of what is held. At four
 /// refutations a second a member gets here in 34 years.
 const GOSSIP_INCARNATION_LIMIT: u64 = 1 << 32;
-/// Above [`GOSSIP_INCARNATION_LIMIT`], an update from another member may exceed the incarnation held by this much.
-/// Reaching the upper bound takes 2^47 such false updates.
+/// Above [`GOSSIP_INCARNATION_LIMIT`], an update from another member may exceed the incarnation held
+/// by this much. Reaching the upper bound takes 2^47 such false updates.
 const GOSSIP_INCARNATION_STEP: u64 = 1 << 16;
 /// How far an update about this member may exceed its own incarnation and still be refuted. The
 /// steps are longer than those for other members, so that a new process overtakes the incarnation
@@ -101,8 +101,8 @@
         false
     }
 
-    /// Whether the name is within the limit and the address is not this member's own, unless the
-    /// update is about this member.
+    /// Whether the name is within the limit, and the address is usable and not this member's own
+    /// (unless the update is about this member).
     fn is_well_formed(&self, update: &Update) -> bool {
         let name_and_address_valid = update.name.len() <= NAME_LIMIT && is_usable(update.address);
         name_and_address_valid && (update.id == self.settings.me || update.address != self.settings.address)
--- a/crates/peers/tests/properties.rs
+++ b/crates/peers/tests/properties.rs
@@ -126,7 +126,7 @@
             }
             let view = peers.view();
             prop_assert!(view.incarnation >= incarnation && view.members.len() <= MEMBERS_LIMIT);
-            prop_assert!(view == before.0 || peers.version() > before.1, "the view changed but not its version");
+            prop_assert!(view == before.0 || peers.version() > before.1, "view changed without a new version");
             incarnation = view.incarnation;
         }
     }
