--- a/crates/lab/src/fleet/disabled.rs
+++ b/crates/lab/src/fleet/disabled.rs
@@ -1,7 +1,7 @@
 //! Parts of the plane disabled from the outside: what it sends or is given is kept from it, so that a claim that
 //! rests on that part has to fail.
 
-use cottonpoint_peers::{Body, MemberId, Packet, Standing};
+use cottonpoint_peers::{Body, MemberId, MemberState, Packet};
 
 /// The part of the plane that is disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,23 +21,21 @@
 
 impl Disabled {
     /// Whether a packet is kept from being sent, by the standing in which its sender holds the receiver.
-    pub fn drops(self, packet: &Packet, held: Option<Standing>) -> bool {
+    pub fn drops(self, packet: &Packet, held: Option<MemberState>) -> bool {
         match self {
-            Disabled::Indirect => matches!(packet.body, Body::PingFor { .. }),
-            Disabled::Exchange => matches!(packet.body, Body::Known),
-            Disabled::Knocks => {
-                matches!(packet.body, Body::Ping { .. }) && held == Some(Standing::LastKnown)
-            }
+            Disabled::Indirect => matches!(packet.body, Body::PingRequest { .. }),
+            Disabled::Exchange => matches!(packet.body, Body::SyncResponse),
+            Disabled::Knocks => matches!(packet.body, Body::Ping { .. }) && held == Some(MemberState::Dead),
             Disabled::Refutation | Disabled::Lateness => false,
         }
     }
 
     /// What is left of a packet when its receiver gets it.
     pub fn redacted(self, packet: &Packet, receiver: MemberId) -> Option<Packet> {
-        let mentions_receiver = |packet: &Packet| packet.updates.iter().any(|news| news.id == receiver);
+        let mentions_receiver = |packet: &Packet| packet.updates.iter().any(|update| update.id == receiver);
         (self == Disabled::Refutation && mentions_receiver(packet)).then(|| {
             let mut packet = packet.clone();
-            packet.updates.retain(|news| news.id != receiver);
+            packet.updates.retain(|update| update.id != receiver);
             packet
         })
     }
--- a/crates/lab/src/fleet/world.rs
+++ b/crates/lab/src/fleet/world.rs
@@ -279,18 +279,21 @@
                 self.log.changes.push(Change { at: self.now, by: i, of, before, now: *now });
             }
         }
-        if self.hosts[i].part.replace(view.part) != Some(view.part) {
-            self.log.parts.push((self.now, i, view.part));
+        if self.hosts[i].part.replace(view.partition) != Some(view.partition) {
+            self.log.parts.push((self.now, i, view.partition));
         }
     }
 
     pub(super) fn held_by(&self, view: &View) -> Vec<Held> {
         let mut holds = vec![Held::default(); self.hosts.len()];
         for member in &view.members {
-            if let Some(of) = self.by_id.get(&member.news.id) {
-                let news = &member.news;
-                holds[*of] =
-                    Held { standing: Some(news.standing), incarnation: news.incarnation, boot: news.boot };
+            if let Some(of) = self.by_id.get(&member.update.id) {
+                let update = &member.update;
+                holds[*of] = Held {
+                    standing: Some(update.state),
+                    incarnation: update.incarnation,
+                    boot: update.boot,
+                };
             }
         }
         holds
--- a/crates/mesh/src/tests.rs
+++ b/crates/mesh/src/tests.rs
@@ -1,27 +1,27 @@
-//! Workers on real sockets of loopback.
+//! Workers on real loopback sockets.
 
 use crate::seal::{Key, Seal};
-use crate::{Command, Handle, Mesh, Settings, id_of};
-use cottonpoint_peers::{Body, Packet, Standing, Update};
+use crate::{Command, Handle, Mesh, Settings, member_id};
+use cottonpoint_peers::{Body, MemberState, Packet, Update};
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// Longer than any wait here: only a failure takes it.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longer than any wait here takes unless a test fails.
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// A packet with news of that many members.
+/// A packet with updates about that many members.
 pub(crate) fn packet(updates: u64) -> Packet {
     let update = |n: u64| Update {
-        id: id_of(&format!("member-{n}")),
+        id: member_id(&format!("member-{n}")),
         name: format!("member-{n}"),
         address: SocketAddrV4::new([127, 0, 0, 1].into(), 7000),
         incarnation: 1 + n,
         boot: n << 40,
-        standing: Standing::Reachable,
-        by: id_of("member-0"),
+        state: MemberState::Reachable,
+        reported_by: member_id("member-0"),
     };
-    let number = 7;
-    Packet { from: update(0), body: Body::Ping { number }, updates: (1..=updates).map(update).collect() }
+    let nonce = 7;
+    Packet { from: update(0), body: Body::Ping { nonce }, updates: (1..=updates).map(update).collect() }
 }
 
 fn bound() -> (UdpSocket, SocketAddrV4) {
@@ -33,7 +33,7 @@
 fn start(name: &str, seeds: &[SocketAddrV4], key: u8) -> (Mesh, Handle, SocketAddrV4) {
     let (socket, address) = bound();
     let peers = cottonpoint_peers::Settings {
-        me: id_of(name),
+        me: member_id(name),
         name: name.to_owned(),
         address,
         seeds: seeds.to_vec(),
@@ -44,7 +44,7 @@
     };
     let keys = vec![Key::new(&[key; 32]).expect("long enough")];
     let mesh = Mesh::start(socket, Settings { peers, cluster: "test".to_owned(), keys, workers: 2 });
-    let mesh = mesh.expect("it starts");
+    let mesh = mesh.expect("the mesh starts");
     let handle = mesh.handle();
     (mesh, handle, address)
 }
@@ -52,47 +52,47 @@
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "{what} did not come");
+        assert!(start.elapsed() < WAIT_LIMIT, "timed out waiting for {what}");
         std::thread::yield_now();
     }
 }
 
-fn standing(handle: &Handle, name: &str) -> Option<Standing> {
+fn state(handle: &Handle, name: &str) -> Option<MemberState> {
     let snapshot = handle.snapshot();
-    let member = snapshot.view.members.iter().find(|member| member.news.id == id_of(name));
-    member.map(|member| member.news.standing)
+    let member = snapshot.view.members.iter().find(|member| member.update.id == member_id(name));
+    member.map(|member| member.update.state)
 }
 
-/// Guards against: members that do not find each other, a goodbye that is not heard, words that are lost at a stop,
-/// and workers that do not end.
+/// Guards against members that don't find each other, a leave that is not received, commands that
+/// are lost when the mesh stops, and workers that don't end.
 #[test]
-fn members_meet_leave_and_come_back() {
+fn members_meet_leave_and_rejoin() {
     let (first, one, seed) = start("one", &[], 1);
     let (second, two, _) = start("two", &[seed], 1);
     wait_until("the meeting", || {
-        standing(&one, "two") == Some(Standing::Reachable)
-            && standing(&two, "one") == Some(Standing::Reachable)
+        state(&one, "two") == Some(MemberState::Reachable)
+            && state(&two, "one") == Some(MemberState::Reachable)
     });
     let before = one.snapshot().view.version;
-    two.tell(Command::Leave);
-    wait_until("the goodbye", || standing(&one, "two") == Some(Standing::Left));
+    two.send_command(Command::Leave);
+    wait_until("the leave", || state(&one, "two") == Some(MemberState::Left));
     assert!(one.snapshot().view.version > before);
-    two.tell(Command::Join);
-    wait_until("the return", || standing(&one, "two") == Some(Standing::Reachable));
-    two.tell(Command::Leave);
+    two.send_command(Command::Join);
+    wait_until("the rejoin", || state(&one, "two") == Some(MemberState::Reachable));
+    two.send_command(Command::Leave);
     drop(second);
-    wait_until("the last goodbye", || standing(&one, "two") == Some(Standing::Left));
+    wait_until("the last leave", || state(&one, "two") == Some(MemberState::Left));
     drop(first);
-    assert_eq!((one.figures().panics, one.figures().too_long), (0, 0));
+    assert_eq!((one.stats().panics, one.stats().too_long), (0, 0));
 }
 
-/// Guards against: a stranger let in, or refused without a count; a peer that is not there taken for a fault; a worker
-/// that spins on it.
+/// Guards against a stranger that is accepted, or rejected without being counted; an unreachable
+/// peer that is treated as a bug; and a worker that spins because of it.
 #[test]
-fn strangers_garbage_and_dead_peers_are_counted_and_do_no_harm() {
-    let (gone, nobody) = bound();
-    drop(gone);
-    let (_mesh, one, address) = start("one", &[nobody], 1);
+fn strangers_garbage_and_unreachable_peers_are_counted_and_harmless() {
+    let (unused, unreachable) = bound();
+    drop(unused);
+    let (_mesh, one, address) = start("one", &[unreachable], 1);
     let (_other, other, _) = start("other", &[address], 2);
     let (socket, _) = bound();
     let send = |bytes: &[u8]| assert_eq!(socket.send_to(bytes, address).ok(), Some(bytes.len()));
@@ -107,43 +107,44 @@
     );
     // In the order of Refusal::ALL: too long, version, cluster, key, garbage.
     wait_until("each refusal", || {
-        let refused = one.figures().refused;
+        let refused = one.stats().refused;
         refused[..3] == [1, 2, 1] && refused[3] >= 1 && refused[4] == 1
     });
-    assert_eq!(standing(&one, "other"), None);
-    assert_eq!(standing(&other, "one"), None);
-    assert_eq!(one.figures().taken, 0);
-    assert_eq!(one.figures().panics, 0);
+    assert_eq!(state(&one, "other"), None);
+    assert_eq!(state(&other, "one"), None);
+    assert_eq!(one.stats().received, 0);
+    assert_eq!(one.stats().panics, 0);
 }
 
-/// Guards against: a fault in the plane that ends the fleet in silence, or a member that others take for dead or
-/// whose view goes back after it.
+/// Guards against a panic in the state machine that silently ends the membership, and a member that
+/// after it is considered dead by others or whose view goes back.
 #[test]
-fn a_worker_that_falls_is_counted_and_the_member_starts_anew() {
+fn worker_panic_is_counted_and_the_member_restarts() {
     let (_first, one, seed) = start("one", &[], 1);
     let (_second, two, _) = start("two", &[seed], 1);
-    let met = |handle: &Handle, name| standing(handle, name) == Some(Standing::Reachable);
+    let met = |handle: &Handle, name| state(handle, name) == Some(MemberState::Reachable);
     wait_until("the meeting", || met(&one, "two") && met(&two, "one"));
     let before = two.snapshot().view.version;
     let boot = |handle: &Handle, name: &str| {
         let snapshot = handle.snapshot();
-        let member = snapshot.view.members.iter().find(|member| member.news.name == name);
-        member.map(|member| member.news.boot)
+        let member = snapshot.view.members.iter().find(|member| member.update.name == name);
+        member.map(|member| member.update.boot)
     };
     let first_boot = boot(&one, "two");
-    two.tell(Command::Fall);
-    wait_until("the new life", || boot(&one, "two") != first_boot && met(&one, "two") && met(&two, "one"));
-    wait_until("the count", || two.figures().panics == 1);
+    two.send_command(Command::Panic);
+    wait_until("the restart", || boot(&one, "two") != first_boot && met(&one, "two") && met(&two, "one"));
+    wait_until("the count", || two.stats().panics == 1);
     assert!(two.snapshot().view.version > before);
 }
 
-/// Guards against: a loop that waits for workers that do not keep up, and words dropped without a count.
+/// Guards against an event loop that waits for slow workers, and commands dropped without being
+/// counted.
 #[test]
-fn words_that_find_no_room_are_counted() {
+fn commands_that_do_not_fit_the_queue_are_counted() {
     let (mesh, one, _) = start("one", &[], 1);
-    drop(mesh); // Nobody takes them any more.
+    drop(mesh); // No worker takes commands any more.
     for _ in 0..100 {
-        one.tell(Command::Join);
+        one.send_command(Command::Join);
     }
-    assert_eq!(one.figures().commands_dropped, 36);
+    assert_eq!(one.stats().commands_dropped, 36);
 }
--- a/crates/program/src/fleet.rs
+++ b/crates/program/src/fleet.rs
@@ -4,8 +4,8 @@
 use crate::operator::Fleet;
 use async_io::Timer;
 use cottonpoint_mesh::seal::Refusal;
-use cottonpoint_mesh::{Command, Figures, Handle, Mesh, Settings, id_of};
-use cottonpoint_peers::{Counts, Part, Standing};
+use cottonpoint_mesh::{Command, Handle, Mesh, Settings, Stats, member_id};
+use cottonpoint_peers::{Counts, MemberState, PartitionStatus};
 use serde_json::{Map, Value, json};
 use std::cell::{Cell, OnceCell, RefCell};
 use std::io::{self, ErrorKind};
@@ -35,7 +35,7 @@
         let Some(listen) = fleet.listen else { return Ok(None) };
         let name = fleet.name_or(name)?;
         let peers = cottonpoint_peers::Settings {
-            me: id_of(&name),
+            me: member_id(&name),
             name,
             address: fleet.advertise.unwrap_or(listen),
             seeds: fleet.seeds.clone(),
@@ -92,7 +92,7 @@
     /// Leaves, or is a member again.
     pub fn tell(&self, command: Command) {
         self.left.set(command == Command::Leave);
-        self.handle.get().into_iter().for_each(|handle| handle.tell(command));
+        self.handle.get().into_iter().for_each(|handle| handle.send_command(command));
     }
 
     /// Ends the workers, and waits for them: they are never long in anything.
@@ -101,21 +101,21 @@
     }
 }
 
-fn standing(standing: Standing) -> &'static str {
+fn standing(standing: MemberState) -> &'static str {
     match standing {
-        Standing::Reachable => "reachable",
-        Standing::Suspected => "suspected",
-        Standing::LastKnown => "last-known",
-        Standing::Left => "left",
+        MemberState::Reachable => "reachable",
+        MemberState::Suspected => "suspected",
+        MemberState::Dead => "last-known",
+        MemberState::Left => "left",
     }
 }
 
-fn part(part: Part) -> &'static str {
+fn part(part: PartitionStatus) -> &'static str {
     match part {
-        Part::Alone => "alone",
-        Part::Whole => "whole",
-        Part::Larger => "larger",
-        Part::Smaller => "smaller",
+        PartitionStatus::Alone => "alone",
+        PartitionStatus::Whole => "whole",
+        PartitionStatus::Majority => "larger",
+        PartitionStatus::Minority => "smaller",
     }
 }
 
@@ -128,36 +128,36 @@
         .members
         .iter()
         .map(|member| {
-            let news = &member.news;
+            let update = &member.update;
             json!({
-                "name": news.name,
-                "id": id(news.id.0),
-                "address": news.address.to_string(),
-                "incarnation": news.incarnation,
-                "boot": id(news.boot),
-                "standing": standing(news.standing),
+                "name": update.name,
+                "id": id(update.id.0),
+                "address": update.address.to_string(),
+                "incarnation": update.incarnation,
+                "boot": id(update.boot),
+                "standing": standing(update.state),
                 "since_ms": u64::try_from(now.since(member.since).as_millis()).unwrap_or(u64::MAX),
             })
         })
         .collect();
-    let me = view.members.iter().find(|member| member.news.id == view.me);
+    let me = view.members.iter().find(|member| member.update.id == view.me);
     json!({
         "me": id(view.me.0),
-        "name": me.map(|me| me.news.name.as_str()),
+        "name": me.map(|me| me.update.name.as_str()),
         "incarnation": view.incarnation,
-        "part": part(view.part),
-        "unwell": view.unwell,
+        "part": part(view.partition),
+        "unwell": view.local_health,
         "version": view.version,
         "members": members,
-        "counts": counts(&fleet.figures(), &snapshot.counts),
+        "counts": counts(&fleet.stats(), &snapshot.counts),
     })
 }
 
-fn counts(shell: &Figures, plane: &Counts) -> Value {
+fn counts(shell: &Stats, plane: &Counts) -> Value {
     let refused: Map<String, Value> =
-        Refusal::ALL.iter().zip(shell.refused).map(|(why, n)| (why.word().to_owned(), n.into())).collect();
+        Refusal::ALL.iter().zip(shell.refused).map(|(why, n)| (why.label().to_owned(), n.into())).collect();
     json!({
-        "datagrams_in": shell.taken,
+        "datagrams_in": shell.received,
         "datagrams_out": shell.sent,
         "refused": refused,
         "receive_failed": shell.receive_failed,
@@ -168,35 +168,35 @@
         "pings": plane.pings,
         "acks": plane.acks,
         "nacks": plane.nacks,
-        "helped": plane.helped,
-        "knocks": plane.knocks,
+        "helped": plane.indirect_pings,
+        "knocks": plane.extra_pings,
         "suspicions": plane.suspicions,
         "deaths": plane.deaths,
         "refutations": plane.refutations,
-        "namesakes": plane.namesakes,
-        "syncs": plane.syncs,
-        "given": plane.given,
-        "withheld": plane.withheld,
-        "full": plane.full,
-        "forgotten": plane.forgotten,
-        "bad": plane.bad,
-        "absurd": plane.absurd,
-        "late": plane.late,
+        "namesakes": plane.name_conflicts,
+        "syncs": plane.syncs_requested,
+        "given": plane.syncs_answered,
+        "withheld": plane.requests_declined,
+        "full": plane.dropped_table_full,
+        "forgotten": plane.members_removed,
+        "bad": plane.malformed,
+        "absurd": plane.implausible_incarnations,
+        "late": plane.late_wakes,
     })
 }
 
 /// For the metrics: members by standing, and datagrams by what became of them.
 pub fn counted(fleet: &Handle) -> [Vec<(&'static str, u64)>; 2] {
-    let (snapshot, shell) = (fleet.snapshot(), fleet.figures());
-    let held = |of| snapshot.view.members.iter().filter(|member| member.news.standing == of).count();
-    let all = [Standing::Reachable, Standing::Suspected, Standing::LastKnown, Standing::Left];
+    let (snapshot, shell) = (fleet.snapshot(), fleet.stats());
+    let held = |of| snapshot.view.members.iter().filter(|member| member.update.state == of).count();
+    let all = [MemberState::Reachable, MemberState::Suspected, MemberState::Dead, MemberState::Left];
     let members = all.iter().map(|&of| (standing(of), held(of) as u64)).collect();
     let mut datagrams = vec![
-        ("taken", shell.taken),
+        ("taken", shell.received),
         ("sent", shell.sent),
         ("receive_failed", shell.receive_failed),
         ("send_failed", shell.send_failed),
     ];
-    datagrams.extend(Refusal::ALL.iter().map(|why| why.word()).zip(shell.refused));
+    datagrams.extend(Refusal::ALL.iter().map(|why| why.label()).zip(shell.refused));
     [members, datagrams]
 }
