--- a/crates/decide/src/policy/attempts.rs
+++ b/crates/decide/src/policy/attempts.rs
@@ -1,157 +1,187 @@
-//! Attempts: what a call has behind it, what an outcome means, and what becomes of the call after it.
+//! Attempts: the record of a request, what an outcome means, and what happens to the request after
+//! it.
 
 use super::*;
 
-/// An endpoint that carries this many calls of ours, and refuses one beside less than this share of them,
-/// refuses for reasons of its own.
-const CARRIED_MIN: f64 = 4.0;
-const CARRIED_SHARE: f64 = 0.6;
-/// Weight of one answer in a class's usual time.
-const TIME_GAIN: f64 = 0.05;
-/// Further attempts: what each arriving call adds to the budget, and the most it holds.
-pub(super) const RETRY_RATIO: f64 = 0.15;
-pub(super) const RETRY_MAX: f64 = 8.0;
-/// Pause before a call that finds no endpoint looks again.
-const LOOK_AGAIN: Duration = Duration::from_millis(40);
+/// An endpoint that carries at least this many requests of this balancer, and refuses one while it
+/// has less than this share of them, refuses for reasons other than load.
+const SERVED_CONCURRENCY_MIN: f64 = 4.0;
+const LOW_CONCURRENCY_SHARE: f64 = 0.6;
+/// Weight of one answer in a class's average service time.
+const SERVICE_TIME_GAIN: f64 = 0.05;
+/// Further attempts: what each arriving request adds to the retry budget, and the most that it
+/// holds.
+pub(super) const RETRY_BUDGET_PER_REQUEST: f64 = 0.15;
+pub(super) const RETRY_BUDGET_MAX: f64 = 8.0;
+/// Delay before a request for which no endpoint was usable is tried again.
+const NO_ENDPOINT_DELAY: Duration = Duration::from_millis(40);
 
+/// One attempt of a request.
 pub(super) struct Attempt {
     pub(super) endpoint: EndpointId,
-    sent: Time,
-    /// Calls of ours that its endpoint had when it was sent, this one included.
-    beside: u32,
-    pub(super) out: bool,
+    /// When it was sent.
+    sent_at: Time,
+    /// Outstanding requests of this balancer at the endpoint after this one was sent, itself
+    /// included.
+    outstanding_at_send: u32,
+    /// Its outcome is still owed.
+    pub(super) in_flight: bool,
 }
 
-pub(super) struct Request {
+/// A request that has no final answer yet.
+pub(super) struct TrackedRequest {
     pub(super) call: Call,
+    /// Index of its queue.
     pub(super) queue: usize,
+    /// An answer after this time is worth nothing.
     pub(super) worth_until: Time,
-    /// When it took its seat, and the virtual service time charged for it; `None` while it waits.
+    /// When it took its seat, and the virtual service time in seconds charged for it; `None` while
+    /// it waits.
     pub(super) seat: Option<(Time, f64)>,
+    /// Its attempts, in the order of sending.
     pub(super) attempts: Vec<Attempt>,
-    /// The first attempt that may have run: when it was sent, and where.
+    /// The first attempt that may have run: when it was sent, and the zone and cell of its
+    /// endpoint.
     pub(super) may_have_run: Option<(Time, ZoneId, CellId)>,
+    /// The answer of an attempt has begun to be streamed to the client.
     pub(super) streaming: bool,
 }
 
 impl Balancer {
-    /// Sends a call's next attempt, if an endpoint is to be had.
-    pub(super) fn send(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+    /// Sends a request's next attempt; false if no endpoint is usable.
+    pub(super) fn send_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(mut r) = self.requests.remove(&id) else { return false };
-        self.earn();
-        let (own, known) = (self.class_time[usize::from(r.call.class.0)], self.class_time.iter());
-        let (sum, count) = known.filter(|&&t| t > 0.0).fold((0.0, 0.0), |(s, n), t| (s + t.ln(), n + 1.0));
-        let work = if own > 0.0 { own / f64::exp(sum / count) } else { 1.0 };
-        let mut picked = self.pick(&r);
-        // A cold endpoint's token stands for mean work: of twice that, every other call takes it in vain.
-        while let Some(i) = picked.filter(|&i| self.warmth(&self.servers[i]) < 1.0) {
-            if work * self.rng.f64() <= 1.0 {
+        self.refill_cold_credit();
+        let (own_time, known_times) =
+            (self.class_service_time_s[usize::from(r.call.class.0)], self.class_service_time_s.iter());
+        let (sum, count) =
+            known_times.filter(|&&t| t > 0.0).fold((0.0, 0.0), |(total, n), t| (total + t.ln(), n + 1.0));
+        let relative_work = if own_time > 0.0 { own_time / f64::exp(sum / count) } else { 1.0 };
+        let mut picked = self.pick_endpoint(&r);
+        // The credit of a cold endpoint is counted in requests of mean work: a request of twice
+        // that uses up a unit without being sent there about every other time.
+        while let Some(i) = picked.filter(|&i| self.warmth(&self.endpoints[i]) < 1.0) {
+            if relative_work * self.rng.f64() <= 1.0 {
                 break;
             }
-            self.servers[i].cold_credit.0 -= 1.0;
-            picked = self.pick(&r);
+            self.endpoints[i].cold_credit.0 -= 1.0;
+            picked = self.pick_endpoint(&r);
         }
         if let Some(i) = picked {
-            let s = &mut self.servers[i];
-            s.cold_credit.0 -= 1.0;
-            s.out += 1;
-            s.recent.add(self.now, 1.0);
-            let endpoint = s.info.id;
-            r.attempts.push(Attempt { endpoint, sent: self.now, beside: s.out, out: true });
-            self.sends.add(self.now, 1.0);
+            let e = &mut self.endpoints[i];
+            e.cold_credit.0 -= 1.0;
+            e.outstanding += 1;
+            e.recent_sends.add(self.now, 1.0);
+            let endpoint = e.info.id;
+            r.attempts.push(Attempt {
+                endpoint,
+                sent_at: self.now,
+                outstanding_at_send: e.outstanding,
+                in_flight: true,
+            });
+            self.recent_sends.add(self.now, 1.0);
             actions.push(Action::Send { id, endpoint, until: r.worth_until });
         }
         self.requests.insert(id, r);
         picked.is_some()
     }
 
-    pub(super) fn finished(&mut self, event: Event<'_>, actions: &mut Vec<Action>) {
+    /// Learns from the outcome of an attempt, then closes the request or decides what happens to
+    /// it.
+    pub(super) fn on_attempt_finished(&mut self, event: Event<'_>, actions: &mut Vec<Action>) {
         let Event::Finished { id, attempt, endpoint, outcome, closed, elapsed, report } = event else {
             return;
         };
-        self.report(endpoint, report, outcome == Outcome::Ok);
-        let mut place = None;
-        let mut failing = false;
-        if let Some(&i) = self.index.get(&endpoint) {
-            let s = &mut self.servers[i];
-            s.out = s.out.saturating_sub(1);
-            place = Some((s.info.zone, s.info.cell));
-            failing = s.strikes > 0;
+        self.record_report(endpoint, report, outcome == Outcome::Ok);
+        let mut location = None;
+        let mut was_failing = false;
+        if let Some(&i) = self.index_by_id.get(&endpoint) {
+            let e = &mut self.endpoints[i];
+            e.outstanding = e.outstanding.saturating_sub(1);
+            location = Some((e.info.zone, e.info.cell));
+            was_failing = e.consecutive_failures > 0;
             match outcome {
-                Outcome::Ok => s.strikes = 0,
+                Outcome::Ok => e.consecutive_failures = 0,
                 Outcome::Error | Outcome::Cancelled | Outcome::Moot => {}
-                _ => self.fault(endpoint, elapsed),
+                _ => self.eject(endpoint, elapsed),
             }
         }
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(a) = r.attempts.get_mut(usize::from(attempt)).filter(|a| a.out) else { return };
-        a.out = false;
-        let (sent, beside) = (a.sent, f64::from(a.beside));
-        let mut own_reasons = false;
-        if let Some(&i) = self.index.get(&endpoint) {
-            let carried = &mut self.servers[i].carried;
-            let most = carried.get(self.now);
-            if outcome == Outcome::Ok && beside > most {
-                *carried = Faded { value: beside, at: self.now };
+        let Some(a) = r.attempts.get_mut(usize::from(attempt)).filter(|a| a.in_flight) else { return };
+        a.in_flight = false;
+        let (sent_at, outstanding_at_send) = (a.sent_at, f64::from(a.outstanding_at_send));
+        let mut unrelated_to_load = false;
+        if let Some(&i) = self.index_by_id.get(&endpoint) {
+            let served_concurrency = &mut self.endpoints[i].served_concurrency;
+            let peak = served_concurrency.get(self.now);
+            if outcome == Outcome::Ok && outstanding_at_send > peak {
+                *served_concurrency = DecayingSum { value: outstanding_at_send, updated_at: self.now };
             }
-            own_reasons = outcome == Outcome::Full && most >= CARRIED_MIN && beside < most * CARRIED_SHARE;
+            unrelated_to_load = outcome == Outcome::Full
+                && peak >= SERVED_CONCURRENCY_MIN
+                && outstanding_at_send < peak * LOW_CONCURRENCY_SHARE;
         }
         let class = usize::from(r.call.class.0);
-        if !outcome.never_ran() && r.may_have_run.is_none_or(|(first, ..)| sent < first) {
-            let (zone, cell) = place.unwrap_or((ZoneId(u16::MAX), CellId(u16::MAX)));
-            r.may_have_run = Some((sent, zone, cell));
+        if !outcome.never_ran() && r.may_have_run.is_none_or(|(first, ..)| sent_at < first) {
+            let (zone, cell) = location.unwrap_or((ZoneId(u16::MAX), CellId(u16::MAX)));
+            r.may_have_run = Some((sent_at, zone, cell));
         }
         if outcome == Outcome::Ok {
-            let (usual, taken) = (&mut self.class_time[class], elapsed.as_secs_f64());
-            *usual += if *usual > 0.0 { (taken - *usual) * TIME_GAIN } else { taken };
+            let (average, service_time) = (&mut self.class_service_time_s[class], elapsed.as_secs_f64());
+            *average +=
+                if *average > 0.0 { (service_time - *average) * SERVICE_TIME_GAIN } else { service_time };
         }
-        // One endpoint's failures in a row say no more about the limit than the first did (a few
-        // that hang would shrink it for all), nor do refusals beside far fewer calls than it carries (two of
-        // four that refused a quarter of their calls, whatever they held, shrank it to its least).
-        let telling = !failing && !own_reasons && !matches!(outcome, Outcome::Cancelled | Outcome::Moot);
-        if outcome == Outcome::Ok || telling {
-            // An attempt that outlives its whole aim is a time-out in all but name.
-            let late = outcome == Outcome::Ok && elapsed > self.set.classes[class].aim;
-            self.learn(if late { Outcome::TimedOut } else { outcome }, sent);
+        // Failures of one endpoint in a row say no more about the limit than the first did: a few
+        // endpoints that hang would lower it for all. Neither do refusals by an endpoint that has
+        // far fewer requests than it carries: two of four endpoints that refused a quarter of their
+        // requests, whatever their load, lowered the limit to its minimum.
+        let counts_for_limit =
+            !was_failing && !unrelated_to_load && !matches!(outcome, Outcome::Cancelled | Outcome::Moot);
+        if outcome == Outcome::Ok || counts_for_limit {
+            // An answer later than the whole latency target counts as a time-out.
+            let late = outcome == Outcome::Ok && elapsed > self.settings.classes[class].aim;
+            self.update_limit(if late { Outcome::TimedOut } else { outcome }, sent_at);
         }
         if closed {
-            return self.end(id, actions);
+            return self.close_request(id, actions);
         }
-        self.again(id, actions);
+        self.retry_or_answer(id, actions);
     }
 
-    /// Whether a call may reach an endpoint at that time, for all that it has behind it.
-    fn may_run(&self, r: &Request, at: Time) -> bool {
-        match (self.set.classes[usize::from(r.call.class.0)].effect, r.may_have_run) {
+    /// Whether a request may reach an endpoint at that time, given its earlier attempts.
+    fn may_run(&self, r: &TrackedRequest, at: Time) -> bool {
+        match (self.settings.classes[usize::from(r.call.class.0)].effect, r.may_have_run) {
             (_, None) | (Effect::Safe, _) => true,
             (Effect::Keyed { window, .. }, Some((first, ..))) => at < first + window,
             (Effect::Unsafe, Some(_)) => false,
         }
     }
 
-    /// Whether an attempt at a call may still go out if it reaches its endpoint at that time.
+    /// Whether an attempt of a request may still be sent if it reaches its endpoint at that time.
     pub fn may_reach(&self, id: RequestId, at: Time) -> bool {
         self.requests.get(&id).is_some_and(|r| self.may_run(r, at))
     }
 
-    /// Decides what becomes of a call none of whose attempts has answered. It keeps its seat: a call that
-    /// may have run and cannot be refused is at level 0 from here on, in that it neither waits nor yields.
-    pub(super) fn again(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    /// Decides what happens to a request none of whose attempts has answered. The request keeps its
+    /// seat: one that may have run and cannot be refused is at level 0 from here on, in that it
+    /// neither waits nor yields.
+    pub(super) fn retry_or_answer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id) else { return };
-        if r.streaming || r.attempts.iter().any(|a| a.out) {
+        if r.streaming || r.attempts.iter().any(|a| a.in_flight) {
             return;
         }
-        let effect = self.set.classes[usize::from(r.call.class.0)].effect;
-        let shared = matches!(effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. });
-        let (may_repeat, may_refuse) = (self.may_run(r, self.now), shared || r.may_have_run.is_none());
-        let tries_left = r.attempts.len() < self.set.limits.max_attempts as usize;
+        let effect = self.settings.classes[usize::from(r.call.class.0)].effect;
+        let safe_to_repeat = matches!(effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. });
+        let (may_repeat, may_refuse) =
+            (self.may_run(r, self.now), safe_to_repeat || r.may_have_run.is_none());
+        let attempts_left = r.attempts.len() < self.settings.limits.max_attempts as usize;
         let in_time = self.now < r.worth_until;
-        if may_repeat && tries_left && in_time && self.budget >= 1.0 {
-            let until = r.worth_until;
-            if self.send(id, actions) {
-                self.budget -= 1.0;
+        if may_repeat && attempts_left && in_time && self.retry_budget >= 1.0 {
+            let retry_until = r.worth_until;
+            if self.send_attempt(id, actions) {
+                self.retry_budget -= 1.0;
             } else {
-                self.at((self.now + LOOK_AGAIN).min(until), Due::Again(id));
+                self.schedule((self.now + NO_ENDPOINT_DELAY).min(retry_until), TimerKind::Retry(id));
             }
             return;
         }
@@ -159,20 +189,22 @@
             return self.refuse(id, actions);
         }
         actions.push(Action::Fail { id });
-        self.end(id, actions);
+        self.close_request(id, actions);
     }
 
+    /// Refuses a request and closes it.
     pub(super) fn refuse(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id) else { return };
-        actions.push(Action::Refuse { id, retry_after: self.stay_away(r.worth_until) });
-        self.end(id, actions);
+        actions.push(Action::Refuse { id, retry_after: self.retry_after(r.worth_until) });
+        self.close_request(id, actions);
     }
 
-    /// When a refused client should come back. In time, after a share of what is left, so that another try
-    /// can still wait and be served; once an answer would be worthless it only costs: stay away.
-    pub(super) fn stay_away(&self, worth_until: Time) -> Option<Duration> {
-        let longest = self.set.limits.max_retry_after?;
-        let left = worth_until.since(self.now);
-        Some(if left.is_zero() { longest } else { left.mul_f64(WAIT_SHARE).min(longest) })
+    /// How long a refused client should wait before a client retry. While an answer is still worth
+    /// something, that is a share of the time left, so that the retry can wait and be served; after
+    /// that a retry only costs, and the client is given the longest delay.
+    pub(super) fn retry_after(&self, worth_until: Time) -> Option<Duration> {
+        let longest = self.settings.limits.max_retry_after?;
+        let remaining = worth_until.since(self.now);
+        Some(if remaining.is_zero() { longest } else { remaining.mul_f64(WAIT_SHARE).min(longest) })
     }
 }
--- a/crates/decide/src/policy/levels.rs
+++ b/crates/decide/src/policy/levels.rs
@@ -1,41 +1,52 @@
-//! Levels and queues: what a call is worth sets its level, its tenant the hand of queues it may join, and the
-//! head with the earliest virtual finish of the level whose turn it is gets the next seat.
+//! Priority levels and fair queues, after the paper on API priority and fairness. A request's worth
+//! sets its level, its tenant the hand of queues that it may join. Of the level whose turn it is,
+//! the queue head with the earliest virtual finish gets the next seat.
 
 use super::*;
 
-/// Levels; each takes calls worth at least half as much as those of the level above. Level 0 is for calls
-/// that cannot be refused any more: see `Balancer::again`.
+/// Number of priority levels; each takes requests worth at least half as much as those of the level
+/// above. Level 0 is for requests that can no longer be refused: see `Balancer::retry_or_answer`.
 pub(super) const LEVELS: usize = 9;
 /// Queues of each width in a level: enough that few tenants share one.
-pub(super) const QUEUES: usize = 16;
-/// Queues dealt to a flow: small, so that a flooding tenant fills few of them.
-const HAND: usize = 2;
-/// Calls that may wait in one queue: the wait limit binds first unless something floods.
-const QUEUE_LIMIT: usize = 32;
-/// A call waits for at most this share of its aim, leaving the rest to be served in.
+pub(super) const QUEUES_PER_WIDTH: usize = 16;
+/// Queues dealt to a flow: few, so that a flooding tenant fills only a small part of them.
+const HAND_SIZE: usize = 2;
+/// Requests that may wait in one queue. Without a flood the limit on waiting time applies first.
+const QUEUE_CAPACITY: usize = 32;
+/// A request waits for at most this share of its latency target, leaving the rest for its service.
 pub(super) const WAIT_SHARE: f64 = 0.25;
 
-/// One queue: calls of one level and width.
+/// One queue: requests of one level and one width (the number of seats that each takes).
 #[derive(Default)]
 pub(super) struct Queue {
+    /// Requests that wait, oldest first.
     pub(super) waiting: VecDeque<RequestId>,
+    /// Requests of this queue that hold a seat.
     pub(super) running: u32,
-    pub(super) start: f64,
+    /// Virtual time, in seconds, at which the head would start.
+    pub(super) virtual_start: f64,
 }
 
-/// What waits and runs, by level and width-weighted in all, and the virtual time that follows.
+/// What waits and runs, and the virtual time that follows from it.
 #[derive(Default)]
-pub(super) struct Seats {
-    pub(super) waiting: [usize; LEVELS],
-    pub(super) running: [f64; LEVELS],
-    pub(super) used: f64,
-    pub(super) reqs: f64,
-    pub(super) queues_in_use: f64,
+pub(super) struct SchedulerState {
+    /// Waiting requests of each level.
+    pub(super) waiting_by_level: [usize; LEVELS],
+    /// Seats taken by the running requests of each level.
+    pub(super) seats_by_level: [f64; LEVELS],
+    /// Seats taken in all.
+    pub(super) seats_in_use: f64,
+    /// Seats that all waiting and running requests take or would take.
+    pub(super) demand: f64,
+    /// Queues that hold a waiting or running request, weighted by width.
+    pub(super) active_queues: f64,
+    /// Virtual time in seconds (the paper's R).
     pub(super) virtual_time: f64,
 }
 
-/// A 64-bit mix (the finaliser of splitmix64). XXH3 in its place deals other hands: the laboratory sees no
-/// harm but on deploys (-0.026), and the four quick days of the simulator fall by 0.095.
+/// Hashes 64 bits (the finalizer of splitmix64). XXH3 in its place deals other hands: in the
+/// laboratory only the score of deploys falls (by 0.026), but the four quick days of the simulator
+/// fall by 0.095.
 pub(super) fn mix(x: u64) -> u64 {
     let x = x.wrapping_add(0x9E37_79B9_7F4A_7C15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -43,15 +54,16 @@
     x ^ (x >> 31)
 }
 
-/// Deals a hand of distinct queue indices from a hash by falling factorials.
-pub(super) fn deal(mut hash: u64) -> [usize; HAND] {
-    let mut hand = [0; HAND];
-    for i in 0..HAND {
-        let left = (QUEUES - i) as u64;
-        let mut card = (hash % left) as usize;
-        hash /= left;
-        // The card'th index not dealt yet: step over dealt ones in ascending order.
-        let mut dealt: [usize; HAND] = hand;
+/// Deals a hand of distinct queue indices from a hash by falling factorials (shuffle sharding).
+pub(super) fn deal_hand(mut hash: u64) -> [usize; HAND_SIZE] {
+    let mut hand = [0; HAND_SIZE];
+    for i in 0..HAND_SIZE {
+        let remaining = (QUEUES_PER_WIDTH - i) as u64;
+        let mut card = (hash % remaining) as usize;
+        hash /= remaining;
+        // Takes the card-th index that is not dealt yet, by skipping the dealt ones in ascending
+        // order.
+        let mut dealt: [usize; HAND_SIZE] = hand;
         dealt[..i].sort_unstable();
         for &d in &dealt[..i] {
             if card >= d {
@@ -63,27 +75,29 @@
     hand
 }
 
-/// The level and width that a queue is for.
-fn place_of(queue: usize) -> (usize, f64) {
-    (queue / (2 * QUEUES), (1 + queue / QUEUES % 2) as f64)
+/// The level and the width of the requests that a queue holds.
+fn level_and_width_of(queue: usize) -> (usize, f64) {
+    (queue / (2 * QUEUES_PER_WIDTH), (1 + queue / QUEUES_PER_WIDTH % 2) as f64)
 }
 
+/// Seats that a request takes: one if repeats are harmless, two otherwise.
 fn width_of(effect: Effect) -> usize {
     if effect == Effect::Safe { 1 } else { 2 }
 }
 
 impl Balancer {
-    /// The level for a call's class and its tenant's standing: one lower for each halving of its worth.
-    pub(super) fn level(&mut self, call: &Call) -> usize {
-        let class = &self.set.classes[usize::from(call.class.0)];
+    /// The priority level for a request's class and its tenant's quota: one lower for each halving
+    /// of its worth.
+    pub(super) fn priority_level(&mut self, call: &Call) -> usize {
+        let class = &self.settings.classes[usize::from(call.class.0)];
         let mut worth = class.worth;
         if let Some(t) = call.tenant
-            && self.over_quota(usize::from(t.0))
+            && self.charge_quota(usize::from(t.0))
         {
-            worth *= self.set.over_quota_worth;
+            worth *= self.settings.over_quota_worth;
         }
-        let halvings = (self.top_worth / worth).log2();
-        // Worthless (or ill-stated) calls take the lowest level.
+        let halvings = (self.max_class_worth / worth).log2();
+        // A worth of zero, or one that is no valid number, leads to the lowest level.
         if halvings.is_finite() {
             (1.0 + halvings.max(0.0)).min(LEVELS as f64 - 1.0) as usize
         } else {
@@ -91,68 +105,77 @@
         }
     }
 
-    /// Whether a tenant has used up this balancer's slice of its quota (a bucket of a few seconds' worth).
-    pub(super) fn over_quota(&mut self, tenant: usize) -> bool {
-        let Some(t) = self.set.tenants.get(tenant) else { return false };
-        let slice = t.quota_per_s / f64::from(self.set.siblings.max(1));
-        let (left, at) = &mut self.quotas[tenant];
-        *left = (*left + slice * self.now.since(*at).as_secs_f64()).min((slice * MEMORY_S).max(4.0));
-        *at = self.now;
-        if *left >= 1.0 {
-            *left -= 1.0;
+    /// Charges a tenant's quota for one request; true if this balancer's share of the quota (a
+    /// token bucket of a few seconds' worth) is used up.
+    pub(super) fn charge_quota(&mut self, tenant: usize) -> bool {
+        let Some(t) = self.settings.tenants.get(tenant) else { return false };
+        let rate = t.quota_per_s / f64::from(self.settings.siblings.max(1));
+        let (tokens, refilled_at) = &mut self.quota_buckets[tenant];
+        *tokens = (*tokens + rate * self.now.since(*refilled_at).as_secs_f64())
+            .min((rate * AVERAGING_TIME_S).max(4.0));
+        *refilled_at = self.now;
+        if *tokens >= 1.0 {
+            *tokens -= 1.0;
         }
-        *left < 1.0
+        *tokens < 1.0
     }
 
-    /// Moves the clock; virtual time runs at min(calls, limit) over the queues in use.
-    pub(super) fn advance(&mut self, now: Time) {
+    /// Advances the clock; virtual time runs at min(requests, limit) over the number of active
+    /// queues.
+    pub(super) fn advance_clock(&mut self, now: Time) {
         let dt = now.since(self.now).as_secs_f64();
         self.now = self.now.max(now);
-        if self.seats.queues_in_use > 0.0 {
-            self.seats.virtual_time += dt * self.seats.reqs.min(self.limit) / self.seats.queues_in_use;
+        if self.scheduler.active_queues > 0.0 {
+            self.scheduler.virtual_time +=
+                dt * self.scheduler.demand.min(self.concurrency_limit) / self.scheduler.active_queues;
         }
     }
 
-    pub(super) fn arrived(&mut self, call: Call, actions: &mut Vec<Action>) {
-        let Some(class) = self.set.classes.get(usize::from(call.class.0)).cloned() else {
+    /// Queues an arriving request, and starts it if the limit allows; refuses it if its queue is
+    /// full or its answer would be worthless.
+    pub(super) fn on_arrival(&mut self, call: Call, actions: &mut Vec<Action>) {
+        let Some(class) = self.settings.classes.get(usize::from(call.class.0)).cloned() else {
             return actions.push(Action::Refuse { id: call.id, retry_after: None });
         };
         if self.requests.contains_key(&call.id) {
             return;
         }
-        self.budget = (self.budget + RETRY_RATIO).min(RETRY_MAX);
+        self.retry_budget = (self.retry_budget + RETRY_BUDGET_PER_REQUEST).min(RETRY_BUDGET_MAX);
         let stretch = call.cost.map_or(0.0, |c| c.as_secs_f64() * class.aim_stretch.max(0.0));
-        let aim = class.aim + Duration::try_from_secs_f64(stretch).unwrap_or_default();
-        let left = call.due.since(self.now);
-        let began = if self.set.from_clients && !self.first_try(&call, left, class.give_up) {
-            call.due - class.give_up
-        } else {
-            self.now
-        };
-        let worth_until = if class.late_worth > 0.0 { call.due } else { (began + aim).min(call.due) };
-        let service = Duration::from_secs_f64(self.class_time[usize::from(call.class.0)]);
-        let expire = (self.now + class.aim.mul_f64(WAIT_SHARE)).min(worth_until - service);
-        let level = self.level(&call);
+        let latency_target = class.aim + Duration::try_from_secs_f64(stretch).unwrap_or_default();
+        let remaining = call.due.since(self.now);
+        let client_started =
+            if self.settings.from_clients && !self.is_first_request(&call, remaining, class.give_up) {
+                call.due - class.give_up
+            } else {
+                self.now
+            };
+        let worth_until =
+            if class.late_worth > 0.0 { call.due } else { (client_started + latency_target).min(call.due) };
+        let usual_service = Duration::from_secs_f64(self.class_service_time_s[usize::from(call.class.0)]);
+        let queue_deadline = (self.now + class.aim.mul_f64(WAIT_SHARE)).min(worth_until - usual_service);
+        let level = self.priority_level(&call);
         let width = width_of(class.effect);
         let flow = call.tenant.map_or(u64::MAX, |t| u64::from(t.0));
         let hash = mix(mix(flow) ^ (level * 2 + width) as u64);
-        let base = (level * 2 + width - 1) * QUEUES;
-        let hand = deal(hash).map(|i| base + i);
-        let queue = hand.into_iter().min_by_key(|&q| self.queues[q].waiting.len()).unwrap_or(base);
-        if self.queues[queue].waiting.len() >= QUEUE_LIMIT || worth_until <= self.now {
-            return actions.push(Action::Refuse { id: call.id, retry_after: self.stay_away(worth_until) });
+        let first_queue = (level * 2 + width - 1) * QUEUES_PER_WIDTH;
+        let hand = deal_hand(hash).map(|i| first_queue + i);
+        let queue = hand.into_iter().min_by_key(|&q| self.queues[q].waiting.len()).unwrap_or(first_queue);
+        if self.queues[queue].waiting.len() >= QUEUE_CAPACITY || worth_until <= self.now {
+            return actions
+                .push(Action::Refuse { id: call.id, retry_after: self.retry_after(worth_until) });
         }
         let q = &mut self.queues[queue];
         if q.waiting.is_empty() && q.running == 0 {
-            q.start = self.seats.virtual_time;
-            self.seats.queues_in_use += width as f64;
+            q.virtual_start = self.scheduler.virtual_time;
+            self.scheduler.active_queues += width as f64;
         }
-        self.seats.reqs += width as f64;
+        self.scheduler.demand += width as f64;
         q.waiting.push_back(call.id);
-        self.seats.waiting[level] += 1;
+        self.scheduler.waiting_by_level[level] += 1;
         self.requests.insert(
             call.id,
-            Request {
+            TrackedRequest {
                 call,
                 queue,
                 worth_until,
@@ -162,88 +185,92 @@
                 streaming: false,
             },
         );
-        self.release(actions);
+        self.dispatch_waiting(actions);
         if self.requests.get(&call.id).is_some_and(|r| r.seat.is_none()) {
-            self.at(expire, Due::Expire(call.id));
+            self.schedule(queue_deadline, TimerKind::QueueTimeout(call.id));
         }
     }
 
-    /// Whether a client's try has the usual length, found by majority vote over the class's tries. A later
-    /// try has what is left of the client's whole patience instead, which tells when its first try began: an
-    /// answer later than the aim from there is worthless.
-    fn first_try(&mut self, call: &Call, left: Duration, give_up: Duration) -> bool {
-        let (usual, votes) = &mut self.patience[usize::from(call.class.0)];
+    /// Whether a client's request has the class's usual time allowance, and so is no client retry;
+    /// the usual one is found by majority vote over the class's requests. A client retry has what
+    /// is left of the client timeout instead, which tells when the client began: an answer that
+    /// comes later than the latency target counted from there is worthless.
+    fn is_first_request(&mut self, call: &Call, remaining: Duration, give_up: Duration) -> bool {
+        let (usual_timeout, votes) = &mut self.usual_timeouts[usize::from(call.class.0)];
         if *votes == 0 {
-            *usual = left;
+            *usual_timeout = remaining;
         }
-        let first = left.abs_diff(*usual) < give_up / 100;
-        *votes = if first { (*votes + 1).min(100) } else { *votes - 1 };
-        first
+        let is_first = remaining.abs_diff(*usual_timeout) < give_up / 100;
+        *votes = if is_first { (*votes + 1).min(100) } else { *votes - 1 };
+        is_first
     }
 
-    /// Assured concurrency of a level, by the paper's formula; shares halve from level to level, as worth.
-    pub(super) fn assured(&self, level: usize) -> f64 {
+    /// Assured concurrency of a level, by the formula of the paper on API priority and fairness;
+    /// shares halve from level to level, as worth does.
+    pub(super) fn assured_concurrency(&self, level: usize) -> f64 {
         let shares = |l: usize| 128.0 / f64::from(1u32 << l);
         let sum: f64 = (1..LEVELS).map(shares).sum();
-        (self.limit * shares(level) / (100.0 + sum)).ceil()
+        (self.concurrency_limit * shares(level) / (100.0 + sum)).ceil()
     }
 
-    /// Starts waiting calls while the limit allows.
-    pub(super) fn release(&mut self, actions: &mut Vec<Action>) {
+    /// Starts waiting requests while the concurrency limit allows it.
+    pub(super) fn dispatch_waiting(&mut self, actions: &mut Vec<Action>) {
         loop {
-            let waiting = |l: &usize| self.seats.waiting[*l] > 0;
+            let waiting = |l: &usize| self.scheduler.waiting_by_level[*l] > 0;
             let Some(highest) = (1..LEVELS).find(waiting) else { return };
-            let assured =
-                (highest..LEVELS).filter(waiting).find(|&l| self.seats.running[l] < self.assured(l));
-            let level = assured.unwrap_or(highest);
-            let base = level * 2 * QUEUES;
-            let finish = |q: usize| self.queues[q].start + self.guess;
-            let queue = (base..base + 2 * QUEUES)
+            let below_assured = (highest..LEVELS)
+                .filter(waiting)
+                .find(|&l| self.scheduler.seats_by_level[l] < self.assured_concurrency(l));
+            let level = below_assured.unwrap_or(highest);
+            let first_queue = level * 2 * QUEUES_PER_WIDTH;
+            let virtual_finish = |q: usize| self.queues[q].virtual_start + self.service_guess_s;
+            let queue = (first_queue..first_queue + 2 * QUEUES_PER_WIDTH)
                 .filter(|&q| !self.queues[q].waiting.is_empty())
-                .min_by(|&a, &b| finish(a).total_cmp(&finish(b)));
+                .min_by(|&a, &b| virtual_finish(a).total_cmp(&virtual_finish(b)));
             let Some(queue) = queue else { return };
-            let (_, width) = place_of(queue);
-            if self.seats.used + width > self.limit.floor() {
-                return; // An unfit head waits; nothing overtakes it.
+            let (_, width) = level_and_width_of(queue);
+            if self.scheduler.seats_in_use + width > self.concurrency_limit.floor() {
+                return; // A head that does not fit waits; no other request overtakes it.
             }
             let id = self.queues[queue].waiting[0];
-            if !self.send(id, actions) {
-                return; // No endpoint for now: it stays held and is refused in time.
+            if !self.send_attempt(id, actions) {
+                return; // No usable endpoint: the request keeps waiting and is refused in time.
             }
-            let guess = self.guess;
+            let service_guess_s = self.service_guess_s;
             let q = &mut self.queues[queue];
             q.waiting.pop_front();
-            q.start += guess;
+            q.virtual_start += service_guess_s;
             q.running += 1;
-            self.seats.waiting[level] -= 1;
-            self.seats.running[level] += width;
-            self.seats.used += width;
+            self.scheduler.waiting_by_level[level] -= 1;
+            self.scheduler.seats_by_level[level] += width;
+            self.scheduler.seats_in_use += width;
             if let Some(r) = self.requests.get_mut(&id) {
-                r.seat = Some((self.now, guess));
+                r.seat = Some((self.now, service_guess_s));
             }
         }
     }
 
-    /// Forgets a call that is over, gives back its seat and settles the virtual time it was charged.
-    pub(super) fn end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    /// Removes a request that is closed, frees its seat and corrects the virtual time charged for
+    /// it.
+    pub(super) fn close_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.remove(&id) else { return };
-        let (level, width) = place_of(r.queue);
+        let (level, width) = level_and_width_of(r.queue);
         let q = &mut self.queues[r.queue];
-        if let Some((since, guess)) = r.seat {
-            q.start -= guess - self.now.since(since).as_secs_f64();
+        if let Some((since, service_guess_s)) = r.seat {
+            q.virtual_start -= service_guess_s - self.now.since(since).as_secs_f64();
             q.running -= 1;
-            self.seats.running[level] -= width;
-            self.seats.used -= width;
+            self.scheduler.seats_by_level[level] -= width;
+            self.scheduler.seats_in_use -= width;
         } else {
             q.waiting.retain(|&other| other != id);
-            self.seats.waiting[level] -= 1;
+            self.scheduler.waiting_by_level[level] -= 1;
         }
-        self.seats.reqs -= width;
+        self.scheduler.demand -= width;
         if q.waiting.is_empty() && q.running == 0 {
-            self.seats.queues_in_use -= width;
+            self.scheduler.active_queues -= width;
         }
-        if self.set.limits.may_cancel {
-            for (i, _) in r.attempts.iter().enumerate().filter(|(_, a)| a.out) {
+        if self.settings.limits.may_cancel {
+            for (i, _) in r.attempts.iter().enumerate().filter(|(_, a)| a.in_flight) {
                 actions.push(Action::Cancel { id, attempt: i as u8 });
             }
         }
--- a/crates/decide/src/policy/mod.rs
+++ b/crates/decide/src/policy/mod.rs
@@ -1,12 +1,13 @@
-//! Every decision that cottonpoint makes; its events, actions and settings are in `interface`.
+//! Every decision of the balancer; its events, actions and settings are in `interface`.
 //!
-//! A call is classified into a priority level by what it is worth, and into a flow by its tenant. It joins
-//! the shortest queue of the hand its flow is dealt. While the width-weighted running calls stay below the
-//! learned limit, the highest level under its assured share, else the highest that waits, releases the head
-//! with the earliest virtual finish. The call then goes to one endpoint of this balancer's own hand of
-//! endpoints, by weights learned from load reports. What comes back moves the limit, the weights and the
-//! virtual start of the queue. Further attempts keep the seat and draw on a budget. Timers end what waits
-//! too long.
+//! A request is assigned to a priority level by its worth and to a flow by its tenant. It joins the
+//! shortest queue of the hand that shuffle sharding deals its flow. While the width-weighted number
+//! of running requests stays below the learned concurrency limit, the highest level below its
+//! assured concurrency releases a request, or else the highest level that has requests waiting;
+//! within the level, the queue head with the earliest virtual finish goes first. The request is
+//! then sent to one endpoint of this balancer's own subset, by weights learned from load reports.
+//! Outcomes adjust the limit, the weights and the virtual start of the queue. Further attempts of a
+//! request keep its seat and draw on a retry budget. Timers end what has waited too long.
 
 mod attempts;
 mod levels;
@@ -23,120 +24,154 @@
 use targets::*;
 use timers::*;
 
-/// The decisions of one balancer. See the crate's documentation for how to embed it.
+/// The decision state machine of one balancer. See the crate's documentation for how to embed it.
 pub struct Balancer {
-    set: Settings,
+    settings: Settings,
     rng: fastrand::Rng,
+    /// Time of the latest event.
     now: Time,
-    top_worth: f64,
-    shortest_aim: f64,
-    quotas: Vec<(f64, Time)>,
-    requests: HashMap<RequestId, Request>,
+    /// Greatest worth of a class; 1 if none has a positive one.
+    max_class_worth: f64,
+    /// Shortest latency target of all classes, in seconds.
+    shortest_target_s: f64,
+    /// For each tenant, the tokens (requests) left in its quota and when they were last refilled.
+    quota_buckets: Vec<(f64, Time)>,
+    /// All requests that have no final answer yet.
+    requests: HashMap<RequestId, TrackedRequest>,
+    /// The queues of all levels and widths; see `level_and_width_of`.
     queues: Vec<Queue>,
-    seats: Seats,
-    guess: f64,
-    limit: f64,
-    last_cut: Time,
-    trouble: f64,
-    idle: f64,
-    class_time: Vec<f64>,
-    /// For each class, the usual length of a client's first try and the votes for it.
-    patience: Vec<(Duration, u32)>,
-    servers: Vec<Server>,
-    index: HashMap<EndpointId, usize>,
-    order: Vec<usize>,
-    hand: Vec<usize>,
-    away: Vec<usize>,
-    kinds: HashMap<KindId, (f64, f64)>,
+    scheduler: SchedulerState,
+    /// Service time in seconds assumed for a request until it is closed (the paper's G): the
+    /// longest latency target.
+    service_guess_s: f64,
+    /// Most width-weighted requests that may run at once.
+    concurrency_limit: f64,
+    /// When the limit was last decreased.
+    last_limit_decrease: Time,
+    /// Moving share of outcomes that were not accepted, 0 to 1.
+    overload_share: f64,
+    /// Moving average of the idle share that endpoints report with answers, 0 to 1.
+    idle_share: f64,
+    /// For each class, the moving average of its service time in seconds; 0 before the first
+    /// answer.
+    class_service_time_s: Vec<f64>,
+    /// For each class, the usual time allowance of a client's first request and the votes for it.
+    usual_timeouts: Vec<(Duration, u32)>,
+    /// Endpoints that are listed or still owe an outcome.
+    endpoints: Vec<TrackedEndpoint>,
+    /// Index of each endpoint in `endpoints`.
+    index_by_id: HashMap<EndpointId, usize>,
+    /// Indices of the ready endpoints, in hash order.
+    ready: Vec<usize>,
+    /// Indices of this balancer's subset: of its own zone, or of all zones if crossing has no
+    /// price.
+    local_subset: Vec<usize>,
+    /// Indices of its subset in other zones; empty if crossing has no price.
+    remote_subset: Vec<usize>,
+    /// For each machine type, the decaying sums of reported rates and utilizations.
+    machine_type_sums: HashMap<KindId, (f64, f64)>,
+    /// Mean weight of the endpoints of the local subset that have reported.
     mean_weight: f64,
-    sends: Faded,
-    budget: f64,
-    probe_next: usize,
-    ask_failures: u32,
-    awaiting: bool,
-    timers: BinaryHeap<Reverse<(Time, Due)>>,
-    wake: Option<Time>,
+    /// Recent attempts to all endpoints.
+    recent_sends: DecayingSum,
+    /// Further attempts that may be made now.
+    retry_budget: f64,
+    /// Position in the local subset of the latest probe.
+    probe_cursor: usize,
+    /// Failures of discovery since the last list.
+    discovery_failures: u32,
+    /// Discovery was asked and has not answered.
+    subscription_pending: bool,
+    /// What is due, earliest first.
+    timers: BinaryHeap<Reverse<(Time, TimerKind)>>,
+    /// The time for which the embedder has been asked to set a timer.
+    armed_timer: Option<Time>,
 }
 
 impl Balancer {
-    /// A balancer without endpoints or calls. All its randomness comes from `seed`.
+    /// Creates a balancer without endpoints or requests. All its randomness comes from `seed`.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Self {
         let classes = settings.classes.len();
-        let positive = |w: f64| if w.is_finite() && w > 0.0 { w } else { 0.0 };
-        let top = settings.classes.iter().map(|c| positive(c.worth)).fold(0.0, f64::max);
-        let guess = settings.classes.iter().map(|c| c.aim.as_secs_f64()).fold(0.001, f64::max);
+        let usable_worth = |w: f64| if w.is_finite() && w > 0.0 { w } else { 0.0 };
+        let max_worth = settings.classes.iter().map(|c| usable_worth(c.worth)).fold(0.0, f64::max);
+        let service_guess_s = settings.classes.iter().map(|c| c.aim.as_secs_f64()).fold(0.001, f64::max);
         let mut balancer = Balancer {
             rng: fastrand::Rng::with_seed(seed),
             now,
-            shortest_aim: settings.classes.iter().map(|c| c.aim.as_secs_f64()).fold(guess, f64::min),
-            top_worth: if top > 0.0 { top } else { 1.0 },
-            quotas: vec![(f64::INFINITY, now); settings.tenants.len()],
+            shortest_target_s: settings
+                .classes
+                .iter()
+                .map(|c| c.aim.as_secs_f64())
+                .fold(service_guess_s, f64::min),
+            max_class_worth: if max_worth > 0.0 { max_worth } else { 1.0 },
+            quota_buckets: vec![(f64::INFINITY, now); settings.tenants.len()],
             requests: HashMap::new(),
-            queues: (0..LEVELS * 2 * QUEUES).map(|_| Queue::default()).collect(),
-            seats: Seats::default(),
-            guess,
-            limit: f64::INFINITY,
-            last_cut: now,
-            trouble: 0.0,
-            idle: 0.0,
-            class_time: vec![0.0; classes],
-            patience: vec![(Duration::ZERO, 0); classes],
-            servers: Vec::new(),
-            index: HashMap::new(),
-            order: Vec::new(),
-            hand: Vec::new(),
-            away: Vec::new(),
-            kinds: HashMap::new(),
+            queues: (0..LEVELS * 2 * QUEUES_PER_WIDTH).map(|_| Queue::default()).collect(),
+            scheduler: SchedulerState::default(),
+            service_guess_s,
+            concurrency_limit: f64::INFINITY,
+            last_limit_decrease: now,
+            overload_share: 0.0,
+            idle_share: 0.0,
+            class_service_time_s: vec![0.0; classes],
+            usual_timeouts: vec![(Duration::ZERO, 0); classes],
+            endpoints: Vec::new(),
+            index_by_id: HashMap::new(),
+            ready: Vec::new(),
+            local_subset: Vec::new(),
+            remote_subset: Vec::new(),
+            machine_type_sums: HashMap::new(),
             mean_weight: 1.0,
-            sends: Faded::default(),
-            budget: RETRY_MAX / 2.0,
-            probe_next: 0,
-            ask_failures: 0,
-            awaiting: false,
+            recent_sends: DecayingSum::default(),
+            retry_budget: RETRY_BUDGET_MAX / 2.0,
+            probe_cursor: 0,
+            discovery_failures: 0,
+            subscription_pending: false,
             timers: BinaryHeap::new(),
-            wake: None,
-            set: settings,
+            armed_timer: None,
+            settings,
         };
-        if let Discovery::OnRequest { ask_within } = balancer.set.discovery {
-            let wait = ask_within.mul_f64(0.3 * balancer.rng.f64());
-            balancer.at(now + wait, Due::Ask);
+        if let Discovery::OnRequest { ask_within } = balancer.settings.discovery {
+            let delay = ask_within.mul_f64(0.3 * balancer.rng.f64());
+            balancer.schedule(now + delay, TimerKind::Subscribe);
         }
-        if balancer.probes() {
-            balancer.at(now, Due::Probe);
+        if balancer.uses_probes() {
+            balancer.schedule(now, TimerKind::Probe);
         }
         balancer
     }
 
-    /// Takes one event and appends what is to be done about it.
+    /// Handles one event and appends the actions that it leads to.
     pub fn handle(&mut self, now: Time, event: Event<'_>, actions: &mut Vec<Action>) {
-        self.advance(now);
+        self.advance_clock(now);
         match event {
-            Event::Endpoints { kind, entries } => self.endpoints(kind, entries),
-            Event::DiscoveryFailed => self.discovery_failed(),
-            Event::Arrived(call) => self.arrived(call, actions),
+            Event::Endpoints { kind, entries } => self.on_endpoint_list(kind, entries),
+            Event::DiscoveryFailed => self.on_discovery_failed(),
+            Event::Arrived(call) => self.on_arrival(call, actions),
             Event::StreamStarted { id } => {
                 if let Some(r) = self.requests.get_mut(&id) {
                     r.streaming = true;
                 }
             }
-            Event::Finished { .. } => self.finished(event, actions),
+            Event::Finished { .. } => self.on_attempt_finished(event, actions),
             Event::ProbeFinished { endpoint, outcome, report } => {
-                self.report(endpoint, report, false);
+                self.record_report(endpoint, report, false);
                 if outcome == Outcome::ConnectFailed || outcome == Outcome::Reset {
-                    self.fault(endpoint, PAUSE_SHORTEST);
+                    self.eject(endpoint, EJECTION_MIN);
                 }
             }
-            Event::Departed { id } => self.end(id, actions),
+            Event::Departed { id } => self.close_request(id, actions),
             Event::Timer { token } => {
-                // By token, not by time: a timer that fires a little early must be set again.
-                if self.wake.is_some_and(|w| w.0 == token.0) {
-                    self.wake = None;
+                // Compared by token, not by time: a timer that fires slightly early must be set
+                // again.
+                if self.armed_timer.is_some_and(|w| w.0 == token.0) {
+                    self.armed_timer = None;
                 }
             }
         }
-        self.expire(actions);
-        self.release(actions);
-        self.arm(actions);
+        self.run_due_timers(actions);
+        self.dispatch_waiting(actions);
+        self.arm_timer(actions);
     }
 }
 
--- a/crates/decide/src/policy/timers.rs
+++ b/crates/decide/src/policy/timers.rs
@@ -1,76 +1,85 @@
-//! Timers: what falls due, and when discovery is asked.
+//! Timers: what is due at which time, and when to subscribe to discovery.
 
 use super::*;
 
-/// Each endpoint in hand is probed this often, where reports need probes.
-const PROBE_EVERY: Duration = Duration::from_secs(3);
-/// First pause before discovery is asked again after a failure.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
+/// Interval of probes to each endpoint of the local subset, where load reports need probes.
+const PROBE_INTERVAL: Duration = Duration::from_secs(3);
+/// First backoff before discovery is asked again after a failure.
+const SUBSCRIBE_BACKOFF_MIN: Duration = Duration::from_millis(500);
 
+/// What is to be done when a timer is due.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Due {
-    Expire(RequestId),
-    Again(RequestId),
+pub(super) enum TimerKind {
+    /// Refuse the request if it still waits.
+    QueueTimeout(RequestId),
+    /// Try again a request for which no endpoint was usable.
+    Retry(RequestId),
+    /// Probe the next endpoint.
     Probe,
-    Ask,
-    AskUnlessAnswered,
+    /// Subscribe to discovery.
+    Subscribe,
+    /// Subscribe again if discovery has not answered.
+    SubscribeIfUnanswered,
 }
 
 impl Balancer {
-    pub(super) fn discovery_failed(&mut self) {
-        let Discovery::OnRequest { ask_within } = self.set.discovery else { return };
-        self.awaiting = false;
-        let pause = (ASK_AGAIN * (1 << self.ask_failures.min(4))).min(ask_within / 2);
-        self.ask_failures += 1;
-        let pause = pause.mul_f64(0.5 + self.rng.f64());
-        // This pause alone counts: asks due from before would come on top, more with each failure.
-        self.timers.retain(|t| !matches!(t.0.1, Due::Ask | Due::AskUnlessAnswered));
-        self.at(self.now + pause, Due::Ask);
+    /// Schedules the next subscription with exponential backoff and jitter.
+    pub(super) fn on_discovery_failed(&mut self) {
+        let Discovery::OnRequest { ask_within } = self.settings.discovery else { return };
+        self.subscription_pending = false;
+        let backoff = (SUBSCRIBE_BACKOFF_MIN * (1 << self.discovery_failures.min(4))).min(ask_within / 2);
+        self.discovery_failures += 1;
+        let backoff = backoff.mul_f64(0.5 + self.rng.f64());
+        // Only this backoff counts: subscriptions scheduled earlier would come on top of it, more
+        // with each failure.
+        self.timers.retain(|t| !matches!(t.0.1, TimerKind::Subscribe | TimerKind::SubscribeIfUnanswered));
+        self.schedule(self.now + backoff, TimerKind::Subscribe);
     }
 
-    pub(super) fn at(&mut self, when: Time, what: Due) {
-        self.timers.push(Reverse((when, what)));
+    pub(super) fn schedule(&mut self, when: Time, kind: TimerKind) {
+        self.timers.push(Reverse((when, kind)));
     }
 
-    pub(super) fn expire(&mut self, actions: &mut Vec<Action>) {
-        while let Some(&Reverse((when, what))) = self.timers.peek() {
+    /// Runs everything that is due by now.
+    pub(super) fn run_due_timers(&mut self, actions: &mut Vec<Action>) {
+        while let Some(&Reverse((when, kind))) = self.timers.peek() {
             if when > self.now {
                 return;
             }
             self.timers.pop();
-            match what {
-                Due::Expire(id) if self.requests.get(&id).is_some_and(|r| r.seat.is_none()) => {
+            match kind {
+                TimerKind::QueueTimeout(id) if self.requests.get(&id).is_some_and(|r| r.seat.is_none()) => {
                     self.refuse(id, actions);
                 }
-                Due::Expire(_) => {}
-                Due::Again(id) => self.again(id, actions),
-                Due::Probe => {
-                    let count = self.hand.len().max(1);
-                    self.probe_next = (self.probe_next + 1) % count;
-                    if let Some(&i) = self.hand.get(self.probe_next) {
-                        actions.push(Action::Probe { endpoint: self.servers[i].info.id });
+                TimerKind::QueueTimeout(_) => {}
+                TimerKind::Retry(id) => self.retry_or_answer(id, actions),
+                TimerKind::Probe => {
+                    let count = self.local_subset.len().max(1);
+                    self.probe_cursor = (self.probe_cursor + 1) % count;
+                    if let Some(&i) = self.local_subset.get(self.probe_cursor) {
+                        actions.push(Action::Probe { endpoint: self.endpoints[i].info.id });
                     }
-                    let pause = (PROBE_EVERY / count as u32).mul_f64(0.5 + self.rng.f64());
-                    self.at(self.now + pause.max(Duration::from_millis(1)), Due::Probe);
+                    let interval = (PROBE_INTERVAL / count as u32).mul_f64(0.5 + self.rng.f64());
+                    self.schedule(self.now + interval.max(Duration::from_millis(1)), TimerKind::Probe);
                 }
-                Due::AskUnlessAnswered if !self.awaiting => {}
-                Due::Ask | Due::AskUnlessAnswered => {
-                    if let Discovery::OnRequest { ask_within } = self.set.discovery {
+                TimerKind::SubscribeIfUnanswered if !self.subscription_pending => {}
+                TimerKind::Subscribe | TimerKind::SubscribeIfUnanswered => {
+                    if let Discovery::OnRequest { ask_within } = self.settings.discovery {
                         actions.push(Action::Subscribe);
-                        self.awaiting = true;
-                        self.at(self.now + ask_within, Due::AskUnlessAnswered);
+                        self.subscription_pending = true;
+                        self.schedule(self.now + ask_within, TimerKind::SubscribeIfUnanswered);
                     }
                 }
             }
         }
     }
 
-    /// Keeps one timer set for the earliest thing due.
-    pub(super) fn arm(&mut self, actions: &mut Vec<Action>) {
+    /// Keeps one timer set for the earliest entry.
+    pub(super) fn arm_timer(&mut self, actions: &mut Vec<Action>) {
         if let Some(&Reverse((when, _))) = self.timers.peek()
-            && self.wake.is_none_or(|w| when < w)
+            && self.armed_timer.is_none_or(|w| when < w)
         {
-            self.wake = Some(when);
+            self.armed_timer = Some(when);
             actions.push(Action::SetTimer { after: when.since(self.now), token: TimerToken(when.0) });
         }
     }
