--- a/crates/decide/src/interface/calls.rs
+++ b/crates/decide/src/interface/calls.rs
@@ -1,47 +1,48 @@
-//! A call, and how an attempt at it may end.
+//! A request, and how an attempt of it may end.
 
 use super::{ClassId, RequestId, TenantId, Time};
 use std::time::Duration;
 
-/// A call that a client hands to this balancer, which owes it exactly one final answer before `due`.
+/// A request from a client to this balancer, which owes it exactly one final answer before `due`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Call {
-    /// Its identity.
+    /// Identifies the request.
     pub id: RequestId,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its tenant, if the deployment has tenants.
+    /// The tenant, if the deployment has tenants.
     pub tenant: Option<TenantId>,
-    /// When the client gives up this try.
+    /// When the client stops waiting for an answer to this request. A client retry is another
+    /// request.
     pub due: Time,
-    /// Expected work, if hinted.
+    /// Expected work of the request, if the client gave a hint.
     pub cost: Option<Duration>,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// Served. The first one is the call's final answer.
+    /// The endpoint answered. The first such outcome is the request's final answer.
     Ok,
-    /// The endpoint answered with an error; it may have run.
+    /// The endpoint answered with an error; the attempt may have run.
     Error,
-    /// Turned away unseen; it never ran.
+    /// The endpoint refused the attempt without processing it; it never ran.
     Full,
-    /// No answer in the time allowed; it may have run or be running.
+    /// No answer in the time allowed; the attempt may have run or be running.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection; the attempt never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Withdrawn by [`Action::Cancel`](super::Action::Cancel); it may have run.
+    /// Withdrawn by [`Action::Cancel`](super::Action::Cancel); the attempt may have run.
     Cancelled,
-    /// Not sent at all; it never ran.
+    /// The embedder did not send the attempt; it never ran.
     Moot,
 }
 
 impl Outcome {
-    /// All of them, in the order in which they are counted and shown: as declared, so that `outcome as usize` is the
-    /// place of each.
+    /// All outcomes, in the order in which they are counted and shown, which is the order of
+    /// declaration, so that `outcome as usize` is the index of each.
     pub const ALL: [Outcome; 8] = [
         Outcome::Ok,
         Outcome::Error,
--- a/crates/decide/src/interface/events.rs
+++ b/crates/decide/src/interface/events.rs
@@ -1,108 +1,112 @@
-//! News for a balancer, and what it asks of its embedder.
+//! What happens to a balancer, and what it asks its embedder to do.
 
 use super::{Call, Endpoint, EndpointId, ListKind, LoadReport, Outcome, RequestId, Time, TimerToken};
 use std::time::Duration;
 
-/// News for a balancer.
+/// Something that happened, as reported to a balancer.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// Discovery's word on endpoints.
+    /// Discovery sent endpoints.
     Endpoints {
-        /// How the entries relate to the list held.
+        /// How the entries relate to the list already held.
         kind: ListKind,
         /// The entries.
         entries: &'a [Endpoint],
     },
-    /// A subscription or fetch failed, or the subscription broke. The list held stays valid.
+    /// A subscription or fetch failed, or the subscription broke. The list already held stays
+    /// valid.
     DiscoveryFailed,
-    /// A call arrived.
+    /// A request arrived.
     Arrived(Call),
-    /// The answer of a streamed call has begun: the attempt belongs to the client from now on.
+    /// A streamed answer has begun to reach the client: from now on the balancer neither repeats nor
+    /// answers the request.
     StreamStarted {
-        /// The call.
+        /// The request.
         id: RequestId,
     },
     /// An attempt ended. Every [`Action::Send`] is followed by exactly one of these.
     Finished {
-        /// The call.
+        /// The request.
         id: RequestId,
         /// The attempt, numbered from 0 in the order of sending.
         attempt: u8,
-        /// Where it was sent.
+        /// The endpoint that it was sent to.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
-        /// Set if the call is closed, by this outcome or before: no answer is owed any more.
+        /// Whether the request is closed, by this outcome or before: no answer is owed any more.
         closed: bool,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Duration,
-        /// The load report that came along.
+        /// The load report that came with the answer.
         report: Option<LoadReport>,
     },
     /// A probe ended.
     ProbeFinished {
-        /// Where it was sent.
+        /// The endpoint that was probed.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
-        /// The load report that came along.
+        /// The load report that came with the answer.
         report: Option<LoadReport>,
     },
-    /// The client has left; nothing is owed for the call any more.
+    /// The client of a request is gone; no answer is owed for it any more.
     Departed {
-        /// The call.
+        /// The request.
         id: RequestId,
     },
-    /// A timer set by [`Action::SetTimer`] fired. Late, early or unknown ones are harmless.
+    /// A timer set by [`Action::SetTimer`] fired. Late, early or unknown timers do no harm.
     Timer {
-        /// The token it was set with.
+        /// The token that it was set with.
         token: TimerToken,
     },
 }
 
-/// What a balancer asks of its embedder, to be carried out in order.
+/// What a balancer asks its embedder to do, to be carried out in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Start an attempt. Attempts of a call are numbered 0, 1, ... in this order.
+    /// Starts an attempt. The attempts of a request are numbered 0, 1, ... in this order.
     Send {
-        /// The call.
+        /// The request.
         id: RequestId,
-        /// Where to.
+        /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// Abandon it (as [`Outcome::TimedOut`]) at this time; never later than the call's `due`.
+        /// When to abandon the attempt (as [`Outcome::TimedOut`]); never later than the request's
+        /// `due`.
         until: Time,
     },
-    /// Final answer: refused; the client may safely try again.
+    /// Final answer: refused. The request had no effect, or repeating it is harmless, so that a
+    /// client retry is safe.
     Refuse {
-        /// The call.
+        /// The request.
         id: RequestId,
-        /// How long the client should stay away.
+        /// How long the client should wait before a client retry.
         retry_after: Option<Duration>,
     },
-    /// Final answer: failed, with no promise about its effect.
+    /// Final answer: failed, with no promise about the request's effect.
     Fail {
-        /// The call.
+        /// The request.
         id: RequestId,
     },
-    /// Withdraw one attempt; also legal after the call is closed.
+    /// Withdraws one attempt; also permitted after the request is closed.
     Cancel {
-        /// The call.
+        /// The request.
         id: RequestId,
         /// The attempt.
         attempt: u8,
     },
-    /// Ask an endpoint for its health and load report.
+    /// Asks an endpoint for its health and load report.
     Probe {
-        /// Where to.
+        /// The endpoint to probe.
         endpoint: EndpointId,
     },
-    /// Deliver [`Event::Timer`] once `after` has passed.
+    /// Delivers [`Event::Timer`] once `after` has passed.
     SetTimer {
-        /// How long from now.
+        /// The time from now.
         after: Duration,
-        /// Handed back with the event.
+        /// Returned with the event.
         token: TimerToken,
     },
-    /// Subscribe to discovery. Answered by [`Event::Endpoints`] or [`Event::DiscoveryFailed`].
+    /// Subscribes to discovery. Answered by [`Event::Endpoints`] or [`Event::DiscoveryFailed`].
     Subscribe,
 }
--- a/crates/decide/src/interface/mod.rs
+++ b/crates/decide/src/interface/mod.rs
@@ -1,7 +1,7 @@
-//! What a [`Balancer`](crate::Balancer) is told and what it asks for.
+//! The events, actions and settings of a [`Balancer`](crate::Balancer).
 //!
-//! Plain data, no behaviour. Times are points on the embedder's monotonic clock, in nanoseconds from any
-//! origin; durations are [`std::time::Duration`].
+//! Plain data without behaviour. Times are points on the embedder's monotonic clock, in nanoseconds
+//! from an arbitrary origin; durations are [`std::time::Duration`].
 
 mod calls;
 mod events;
--- a/crates/decide/src/interface/names.rs
+++ b/crates/decide/src/interface/names.rs
@@ -1,4 +1,4 @@
-//! Points in time, and what calls, endpoints and places are named by.
+//! Points in time, and the identifiers of requests, endpoints and places.
 
 use std::fmt;
 use std::time::Duration;
@@ -42,19 +42,19 @@
     };
 }
 
-id!(/// Names one call; never reused by the embedder.
+id!(/// Identifies one request; never reused by the embedder.
     RequestId(u64));
-id!(/// Names one endpoint; the same at every balancer and across restarts of its process.
+id!(/// Identifies one endpoint; the same at every balancer and across restarts of its process.
     EndpointId(u64));
 id!(/// Index of a class in [`Settings::classes`](super::Settings::classes).
     ClassId(u16));
 id!(/// Index of a tenant in [`Settings::tenants`](super::Settings::tenants).
     TenantId(u16));
-id!(/// A zone: crossing from one to another may have a price.
+id!(/// A zone: requests that cross from one zone to another may have a price.
     ZoneId(u16));
-id!(/// A cell: a small set of endpoints within one zone that share what keys they have seen.
+id!(/// A cell: a small set of endpoints in one zone that share the idempotency keys they have seen.
     CellId(u16));
-id!(/// A machine type, used only to pool observations of like endpoints.
+id!(/// A machine type, used only to combine the load reports of similar endpoints.
     KindId(u16));
-id!(/// Handed back when a timer fires.
+id!(/// Returned when a timer fires.
     TimerToken(u64));
--- a/crates/decide/src/interface/settings.rs
+++ b/crates/decide/src/interface/settings.rs
@@ -1,98 +1,100 @@
-//! What a balancer is told at its start: classes, tenants, and what the environment allows and asks.
+//! The settings of a balancer: classes, tenants, and what the environment allows and requires.
 
 use super::ZoneId;
 use std::time::Duration;
 
-/// Everything a balancer is told at its start. Nothing here changes during its life.
+/// The settings of a balancer, which stay the same during its life.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// This balancer's index among its siblings, from 0.
+    /// Index of this balancer among those that send to the same endpoints, from 0.
     pub me: u32,
-    /// How many balancers send to the same endpoints, this one included.
+    /// Number of balancers that send to the same endpoints, this one included.
     pub siblings: u32,
-    /// The zone this balancer runs in.
+    /// The zone that this balancer runs in.
     pub zone: ZoneId,
-    /// Calls come straight from clients, whose next tries shorten within their patience; otherwise from
-    /// servers that are balancers' endpoints themselves.
+    /// Whether requests come directly from clients, whose retries have only what is left of the
+    /// client timeout. Otherwise they come from servers that are themselves endpoints of balancers.
     pub from_clients: bool,
-    /// Classes of call, indexed by [`ClassId`](super::ClassId).
+    /// Classes of requests, indexed by [`ClassId`](super::ClassId).
     pub classes: Vec<Class>,
     /// Tenants, indexed by [`TenantId`](super::TenantId); may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a call beyond its tenant's quota, as a fraction of its class's worth.
+    /// Worth of a request beyond its tenant's quota, as a fraction of its class's worth.
     pub over_quota_worth: f64,
-    /// How the list of endpoints is learned.
+    /// How the endpoint list is learned.
     pub discovery: Discovery,
     /// How endpoints report their load.
     pub reporting: Reporting,
     /// What the environment allows.
     pub limits: Limits,
-    /// Figures of the obligations towards endpoints.
+    /// Requirements on the load of endpoints that have just started.
     pub obligations: Obligations,
-    /// Price of one attempt that crosses zones, relative to the worth of a first try; 0 for none.
+    /// Price of one attempt that crosses zones, relative to the worth of a request without client
+    /// retries; 0 for none.
     pub cross_zone_price: f64,
 }
 
-/// A class of calls.
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time of arrival earns the full worth.
+    /// Latency target: an answer within this time of arrival has its full worth.
     pub aim: Duration,
-    /// The aim grows by this multiple of the call's own expected work.
+    /// The latency target grows by this multiple of the request's own expected work.
     pub aim_stretch: f64,
-    /// The client's whole patience, over all its tries.
+    /// Client timeout: how long a client waits in all, over its retries.
     pub give_up: Duration,
-    /// Worth of an answer in time.
+    /// Worth of an answer within the latency target.
     pub worth: f64,
-    /// Fraction of the worth that an answer after the aim still earns.
+    /// Fraction of the worth that an answer after the latency target still has.
     pub late_worth: f64,
-    /// Whether a call may run again.
+    /// Whether a request may run again.
     pub effect: Effect,
 }
 
-/// What running a call twice would do.
+/// What happens when a request runs twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Repeats are harmless.
     Safe,
-    /// Endpoints within one `scope` discard repeats for `window` after the first send that may have run.
+    /// Endpoints within one `scope` discard repeats for `window` after the first send that may have
+    /// run.
     Keyed {
-        /// Which endpoints know of each other's keys.
+        /// Which endpoints know each other's idempotency keys.
         scope: Scope,
-        /// How long they remember.
+        /// How long they keep a key.
         window: Duration,
     },
-    /// Must never run twice.
+    /// The request must never run twice.
     Unsafe,
 }
 
-/// The endpoints that discard each other's repeats of a keyed call.
+/// The endpoints that discard each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// All endpoints.
     All,
-    /// Those in one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// Those in one cell.
+    /// The endpoints of one cell.
     Cell,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Calls a second, over all balancers, that count in full.
+    /// Requests per second, over all balancers, that have their full worth.
     pub quota_per_s: f64,
 }
 
-/// How the list of endpoints is learned.
+/// How the endpoint list is learned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes arrive by themselves.
+    /// Discovery sends changes without being asked.
     Pushed,
-    /// Changes arrive only after [`Action::Subscribe`](super::Action::Subscribe); a balancer that has not
-    /// asked for `ask_within` is taken to know what was listed that long ago.
+    /// Changes arrive only after [`Action::Subscribe`](super::Action::Subscribe). A balancer that
+    /// has not subscribed for `ask_within` is assumed to know what was listed that long ago.
     OnRequest {
-        /// The longest silence allowed without a subscription.
+        /// The longest time allowed without a subscription.
         ask_within: Duration,
     },
 }
@@ -111,27 +113,29 @@
 /// What the environment allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Attempts for one call, the first included.
+    /// Attempts per request, the first included.
     pub max_attempts: u32,
-    /// Two attempts of one call may be out at once.
+    /// Whether two attempts of one request may be outstanding at once.
     pub may_duplicate: bool,
-    /// [`Action::Cancel`](super::Action::Cancel) is permitted.
+    /// Whether [`Action::Cancel`](super::Action::Cancel) is permitted.
     pub may_cancel: bool,
-    /// [`Action::Probe`](super::Action::Probe) is permitted.
+    /// Whether [`Action::Probe`](super::Action::Probe) is permitted.
     pub may_probe: bool,
-    /// The longest stay-away that a refused client heeds; `None` where clients are given no such hint.
+    /// The longest retry delay that a refused client heeds; `None` where clients are given no such
+    /// hint.
     pub max_retry_after: Option<Duration>,
 }
 
-/// Figures of what a balancer owes to endpoints that start or stop.
+/// How an endpoint warms up after its start, and what load makes it fall over while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Obligations {
-    /// Share of its capacity that a fresh endpoint has at least.
+    /// Least share of its full capacity that an endpoint has when it starts.
     pub cold_from: f64,
-    /// After this time an endpoint is warm.
+    /// Time after which an endpoint is warm.
     pub warm_after: Duration,
-    /// A cold endpoint sent more than this multiple of its present capacity ...
+    /// A cold endpoint falls over when it is sent more than this multiple of its present capacity
+    /// ...
     pub fall_multiple: f64,
-    /// ... over this time falls over.
+    /// ... over this time.
     pub fall_after: Duration,
 }
--- a/crates/decide/src/interface/targets.rs
+++ b/crates/decide/src/interface/targets.rs
@@ -1,32 +1,32 @@
-//! What discovery and the endpoints themselves say of endpoints.
+//! Endpoints as discovery lists them, and the load that they report.
 
 use super::{CellId, EndpointId, KindId, Time, ZoneId};
 
 /// One endpoint as discovery lists it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its identity.
+    /// Identifies the endpoint.
     pub id: EndpointId,
-    /// Where it is.
+    /// The zone that it runs in.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The cell that it belongs to.
     pub cell: CellId,
     /// Its machine type.
     pub kind: KindId,
-    /// Whether it takes calls.
+    /// Whether it takes requests.
     pub state: EndpointState,
-    /// When its process last started; `None`: long ago.
+    /// When its process last started; `None` if long ago.
     pub started: Option<Time>,
 }
 
-/// Whether an endpoint takes calls.
+/// Whether an endpoint takes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes calls.
+    /// Takes requests.
     Ready,
-    /// Finishes what it has; nothing new may go to it.
+    /// Finishes the requests that it has; takes no new ones.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Gone,
 }
 
@@ -35,15 +35,16 @@
 pub enum ListKind {
     /// Only what changed.
     Delta,
-    /// Everything; what is absent is gone.
+    /// Everything; an endpoint that is absent is removed.
     Full,
 }
 
-/// An endpoint's account of its own load. Values may be stale, noisy or odd; `None` where not reported.
+/// The load that an endpoint reports of itself. Values may be stale, noisy or invalid; `None` if
+/// not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Fraction of CPU occupied.
+    /// Fraction of the CPU in use.
     pub utilization: Option<f64>,
-    /// Calls completed a second.
+    /// Requests completed per second.
     pub rate: Option<f64>,
 }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,16 +1,20 @@
-//! Load-balancer decisions for services that call services, as a state machine without I/O.
+//! Load-balancing decisions for services that send requests to other services, as a state machine
+//! without I/O.
 //!
-//! A [`Balancer`] lives beside one caller. Its embedder tells it what happens ([`Event`]) and carries out
-//! what it asks for ([`Action`]), in order. It has no clock, thread, socket or global state of its own: time
-//! comes with each event, randomness from the seed, and the same events yield the same actions.
+//! A [`Balancer`] runs next to one client. Its embedder reports what happens ([`Event`]) and
+//! carries out what the balancer asks for ([`Action`]), in order. The balancer has no clock,
+//! thread, socket or global state of its own: time comes with each event, randomness from the
+//! seed, and the same events yield the same actions.
 //!
-//! What the embedder owes:
-//! - time that never goes back, and timers delivered soon after they fall due;
-//! - exactly one [`Event::Finished`] for every [`Action::Send`], at the latest when its `until` has passed;
-//! - the first [`Outcome::Ok`] of a call handed to the client, with `closed` set in that event.
+//! The embedder guarantees:
+//! - time that never goes back, and timers delivered soon after they are due;
+//! - exactly one [`Event::Finished`] for every [`Action::Send`], at the latest when its `until`
+//!   has passed;
+//! - the first [`Outcome::Ok`] of a request passed on to the client, with `closed` set in that
+//!   event.
 //!
-//! What the balancer owes: exactly one final answer for each call before its `due` (an answer handed over,
-//! [`Action::Refuse`] or [`Action::Fail`]), unless the client departs first.
+//! The balancer guarantees exactly one final answer for each request before its `due` (an answer
+//! passed on, [`Action::Refuse`] or [`Action::Fail`]), unless the client is gone first.
 //!
 //! ```
 //! use cottonpoint_decide::*;
@@ -64,15 +68,16 @@
 //! }];
 //! balancer.handle(start, Event::Endpoints { kind: ListKind::Full, entries: &entries }, &mut actions);
 //!
-//! // A call arrives and is sent there.
+//! // A request arrives and is sent there.
 //! let (id, now) = (RequestId(1), start + ms(10));
-//! let call = Call { id, class: ClassId(0), tenant: None, due: now + ms(2000), cost: None };
-//! balancer.handle(now, Event::Arrived(call), &mut actions);
+//! let request = Call { id, class: ClassId(0), tenant: None, due: now + ms(2000), cost: None };
+//! balancer.handle(now, Event::Arrived(request), &mut actions);
 //! let send = Action::Send { id, endpoint: EndpointId(7), until: now + ms(500) };
 //! assert_eq!(actions, [send]);
 //! actions.clear();
 //!
-//! // The endpoint is full: it never ran, so the call is tried again there, being alone, or held.
+//! // The endpoint refuses it, so the request never ran: it is sent again to this endpoint, the only
+//! // one, or held.
 //! let full = Event::Finished {
 //!     id,
 //!     attempt: 0,
