--- a/crates/decide/tests/cold_start.rs
+++ b/crates/decide/tests/cold_start.rs
@@ -1,4 +1,4 @@
-//! A freshly started endpoint gets no more than this balancer's slice of what it can stand.
+//! A freshly started endpoint gets no more than this balancer's share of what it can bear.
 
 mod common;
 use common::*;
@@ -15,22 +15,22 @@
     for n in 0..(5 + seconds) * 1000 / every_ms {
         if n * every_ms >= 5000 && started.is_none() {
             started = Some(d.now);
-            d.list(ListKind::Delta, &[Endpoint { started, ..endpoint(99) }]);
+            d.update_list(ListKind::Delta, &[Endpoint { started, ..endpoint(99) }]);
         }
-        let (id, actions) = d.call(SAFE);
-        let (_, at) = sent(&actions).expect("sent");
+        let (id, actions) = d.arrive(SAFE);
+        let (_, at) = first_send(&actions).expect("sent");
         if at == EndpointId(99) {
             times.push(d.now.since(started.unwrap()).as_millis() as u64);
         }
         d.finish(id, 0, at, Outcome::Ok);
-        d.pass(ms(every_ms));
+        d.advance(ms(every_ms));
     }
     times
 }
 
 #[test]
-fn it_keeps_to_its_slice_of_the_budget_in_every_window() {
-    // 100 calls a second over ten warm endpoints: each bears 10 a second of ours.
+fn cold_endpoint_gets_at_most_its_budget_in_every_window() {
+    // 100 requests per second over ten warm endpoints: each carries 10 per second of this balancer.
     let times = sends_to_cold(1, 10, 10, 20);
     for (i, &from) in times.iter().enumerate().filter(|t| *t.1 < 10_000) {
         let in_window = times[i..].iter().take_while(|&&t| t < from + 2000).count() as f64;
@@ -38,59 +38,60 @@
         let budget = 3.0 * warmth * 10.0 * 2.0;
         assert!(in_window <= budget + 1.0, "{in_window} sent within 2 s of {from} ms, budget {budget}");
     }
-    assert!(times.iter().any(|&t| t < 3000), "it does get some work: {times:?}");
+    assert!(times.iter().any(|&t| t < 3000), "the cold endpoint gets some work: {times:?}");
     let late = times.iter().filter(|&&t| t > 12_000).count();
-    assert!(late > 50, "warm, it gets its full share: {late}");
+    assert!(late > 50, "the warm endpoint gets its full share: {late}");
 }
 
 #[test]
-fn a_balancer_that_sends_little_sends_a_cold_endpoint_next_to_nothing() {
+fn balancer_with_little_traffic_sends_cold_endpoint_almost_nothing() {
     let times = sends_to_cold(50, 200, 10, 4);
     assert!(times.len() <= 2, "{times:?}");
 }
 
 #[test]
-fn with_only_cold_endpoints_left_the_rest_is_held_rather_than_pushed_onto_them() {
+fn requests_are_held_when_only_cold_endpoints_remain() {
     let mut d = Driver::with(settings(), &(1..=10).map(endpoint).collect::<Vec<_>>());
     for _ in 0..500 {
-        let (id, actions) = d.call(SAFE);
-        d.finish(id, 0, sent(&actions).expect("sent").1, Outcome::Ok);
-        d.pass(ms(10));
+        let (id, actions) = d.arrive(SAFE);
+        d.finish(id, 0, first_send(&actions).expect("sent").1, Outcome::Ok);
+        d.advance(ms(10));
     }
     let cold: Vec<_> = (11..=12).map(|i| Endpoint { started: Some(d.now), ..endpoint(i) }).collect();
-    d.list(ListKind::Full, &cold);
+    d.update_list(ListKind::Full, &cold);
     let mut sent_cold = 0;
     for _ in 0..100 {
-        sent_cold += usize::from(sent(&d.call(SAFE).1).is_some());
-        d.pass(ms(10));
+        sent_cold += usize::from(first_send(&d.arrive(SAFE).1).is_some());
+        d.advance(ms(10));
     }
     assert!(sent_cold < 50, "{sent_cold} of 100 in the first second");
 }
 
 #[test]
-fn a_further_attempt_never_goes_to_a_cold_endpoint() {
+fn further_attempt_never_goes_to_cold_endpoint() {
     let mut d = Driver::with(settings(), &(1..=4).map(endpoint).collect::<Vec<_>>());
     let started = Some(d.now);
-    d.list(ListKind::Delta, &[Endpoint { started, ..endpoint(9) }]);
+    d.update_list(ListKind::Delta, &[Endpoint { started, ..endpoint(9) }]);
     let (mut first, mut further) = (0, 0);
     for n in 0..900 {
-        let (id, actions) = d.call(SAFE);
-        let (_, at) = sent(&actions).expect("sent");
+        let (id, actions) = d.arrive(SAFE);
+        let (_, at) = first_send(&actions).expect("sent");
         first += usize::from(at == EndpointId(9));
         if n % 10 != 0 {
             d.finish(id, 0, at, Outcome::Ok);
-        } else if let Some((_, at)) = sent(&d.finish(id, 0, at, Outcome::Error)) {
+        } else if let Some((_, at)) = first_send(&d.finish(id, 0, at, Outcome::Error)) {
             assert_ne!(at, EndpointId(9));
             further += 1;
             d.finish(id, 1, at, Outcome::Ok);
         }
-        d.pass(ms(10));
+        d.advance(ms(10));
     }
-    assert!(first > 20 && further > 50, "{first} first calls to it, {further} further attempts in all");
+    assert!(first > 20 && further > 50, "{first} first requests to it, {further} further attempts in all");
 }
 
-/// Of the seconds after a release, how many calls a second all of `siblings` balancers together send `cold`
-/// fresh endpoints; the `warm` ones report that they carry `rate` calls a second at `util`.
+/// For each second after a release, how many requests per second all balancers together send to
+/// `cold` freshly started endpoints; the `warm` ones report that they carry `rate` requests per
+/// second at `util`.
 fn fleet_sends_to_cold(siblings: u32, warm: u64, cold: u64, rate: f64, util: f64) -> Vec<f64> {
     let report = Some(LoadReport { utilization: Some(util), rate: Some(rate) });
     let mut sent_cold = vec![0.0; 6];
@@ -105,28 +106,29 @@
                 break;
             }
             if second >= 0.0 && started.is_none() {
-                // Half of the warm ones are replaced at once.
+                // Some of the warm endpoints are replaced at once.
                 started = Some(d.now);
                 let fresh = (100..100 + cold).map(|id| Endpoint { started, ..endpoint(id) });
                 let list: Vec<_> = (1..=warm - cold).map(endpoint).chain(fresh).collect();
-                d.list(ListKind::Full, &list);
+                d.update_list(ListKind::Full, &list);
             }
-            let (id, actions) = d.call(SAFE);
-            if let Some((_, at)) = sent(&actions) {
+            let (id, actions) = d.arrive(SAFE);
+            if let Some((_, at)) = first_send(&actions) {
                 sent_cold[second.max(0.0) as usize] += f64::from(u8::from(at.0 >= 100));
                 d.finish_with(id, 0, at, Outcome::Ok, report.filter(|_| at.0 < 100));
             }
-            d.pass(every);
+            d.advance(every);
         }
     }
     sent_cold
 }
 
-/// Guards against: a cold endpoint's budget drawn from what calls happen to be sent. Where the fleet has room
-/// to spare (here a quarter in use), ten in sixteen replaced left the survivors with nearly all calls until
-/// they choked; then fewer calls were sent, so the cold ones were given still less.
+/// Guards against a budget of cold endpoints that depends on how many requests happen to be sent.
+/// In a fleet with spare capacity (here a quarter is in use) ten of sixteen endpoints were
+/// replaced; the remaining ones got nearly all requests until they were overloaded, then fewer
+/// requests were sent, and so the cold endpoints were given even less.
 #[test]
-fn cold_endpoints_are_given_what_their_kind_reports_to_carry() {
+fn cold_endpoints_get_load_by_reports_of_their_machine_type() {
     let (rate, util, cold) = (10.0, 0.25, 10);
     let sent_cold = fleet_sends_to_cold(17, 16, cold, rate, util);
     for (second, &sent) in sent_cold.iter().enumerate().skip(1) {
@@ -139,62 +141,72 @@
     }
 }
 
-/// Callers who all have the same eight endpoints in hand, one of them started anew at second 0.
+/// Balancers that all have the same eight endpoints in their subsets, one of which restarts at
+/// second 0.
 #[derive(Clone, Copy, Debug)]
-struct Fleet {
-    callers: u32,
-    /// Calls of mean work that a warm endpoint carries in a second.
-    carries: f64,
-    /// No calls in these seconds after the start; then eight from each caller at once.
-    silent: f64,
-    /// All callers' own processes are replaced, each at a moment of its own in the second or third second.
+struct Scenario {
+    balancers: u32,
+    /// Requests of mean work per second that a warm endpoint carries.
+    capacity_per_s: f64,
+    /// Seconds without requests after the restart; then each balancer gets eight at once.
+    silent_s: f64,
+    /// Whether all balancers are replaced, each at its own moment in the second or third second.
     restarts: bool,
-    /// The list comes to each caller up to this many seconds late.
-    late: f64,
-    /// From the start on only calls of twice the mean work, as many as before.
+    /// The list reaches each balancer up to this many seconds late.
+    list_delay_s: f64,
+    /// Whether all requests from the restart on have twice the mean work, at the same rate.
     heavy: bool,
 }
 
-/// When all callers together send the fresh endpoint what work (1 is the mean), if they know of its start.
-fn play(fleet: Fleet, seed: u64) -> Vec<(f64, f64)> {
+/// When, in seconds after the restart, all balancers that know of the restart send requests to the
+/// restarted endpoint, each with its work (1 is the mean).
+fn sends_to_restarted_endpoint(scenario: Scenario, seed: u64) -> Vec<(f64, f64)> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let (begin, start) = (Time(1_000_000_000), Time(7_000_000_000));
     let before: Vec<_> = (1..=8).map(endpoint).collect();
     let mut after = before.clone();
     after[7].started = Some(start);
-    let caller = |me: u32, now: Time, list: &[Endpoint], seed: u64| {
-        let set = Settings { me, siblings: fleet.callers, ..settings() };
-        let mut d = Driver::new(set.clone());
-        (d.now, d.balancer) = (now, Balancer::new(set, seed, now));
-        d.list(ListKind::Full, list);
+    let driver_of = |me: u32, now: Time, list: &[Endpoint], seed: u64| {
+        let settings = Settings { me, siblings: scenario.balancers, ..settings() };
+        let mut d = Driver::new(settings.clone());
+        (d.now, d.balancer) = (now, Balancer::new(settings, seed, now));
+        d.update_list(ListKind::Full, list);
         d
     };
-    // Some callers see several times the mean. Three quarters of what all endpoints carry, in all.
-    let shares: Vec<_> = (0..fleet.callers).map(|_| (1.0 / (1.0 - rng.f64())).min(8.0)).collect();
-    let each = 0.75 * 8.0 * fleet.carries / shares.iter().sum::<f64>();
-    let mut callers: Vec<_> = (0..fleet.callers)
-        .map(|me| (caller(me, begin, &before, rng.u64(..)), fleet.late * rng.f64(), 1.0 + 2.0 * rng.f64()))
+    // Some balancers get several times the mean rate. In all, three quarters of what all endpoints
+    // carry.
+    let shares: Vec<_> = (0..scenario.balancers).map(|_| (1.0 / (1.0 - rng.f64())).min(8.0)).collect();
+    let each = 0.75 * 8.0 * scenario.capacity_per_s / shares.iter().sum::<f64>();
+    let mut balancers: Vec<_> = (0..scenario.balancers)
+        .map(|me| {
+            (
+                driver_of(me, begin, &before, rng.u64(..)),
+                scenario.list_delay_s * rng.f64(),
+                1.0 + 2.0 * rng.f64(),
+            )
+        })
         .collect();
     let mut sent_cold = Vec::new();
     let mut out: Vec<(f64, usize, RequestId, EndpointId, f64)> = Vec::new();
     for step in 0..1600_u64 {
         let (now, second) = (begin + ms(step * 10), step as f64 / 100.0 - 6.0);
         let now_is = |at: f64| second >= at && second < at + 0.01;
-        for (me, (d, told, restart)) in callers.iter_mut().enumerate() {
+        for (me, (d, notified_at, restarts_at)) in balancers.iter_mut().enumerate() {
             d.now = now;
-            if now_is(*told) {
-                d.list(ListKind::Full, &after);
+            if now_is(*notified_at) {
+                d.update_list(ListKind::Full, &after);
             }
-            if fleet.restarts && now_is(*restart) {
-                *d = caller(me as u32, now, &after, rng.u64(..));
-                out.retain(|&(_, caller, ..)| caller != me);
+            if scenario.restarts && now_is(*restarts_at) {
+                *d = driver_of(me as u32, now, &after, rng.u64(..));
+                out.retain(|&(_, balancer, ..)| balancer != me);
             }
             for (_, _, id, endpoint, work) in out.extract_if(.., |o| o.1 == me && o.0 <= second) {
-                let report = LoadReport { utilization: Some(0.5), rate: Some(fleet.carries / 2.0) };
+                let report =
+                    LoadReport { utilization: Some(0.5), rate: Some(scenario.capacity_per_s / 2.0) };
                 let (report, elapsed) =
                     (Some(report).filter(|_| endpoint.0 != 8), ms((100.0 * work) as u64));
                 let outcome = Outcome::Ok;
-                d.event(Event::Finished {
+                d.handle(Event::Finished {
                     id,
                     attempt: 0,
                     endpoint,
@@ -204,15 +216,15 @@
                     report,
                 });
             }
-            let calm = !(0.0..fleet.silent).contains(&second);
-            let come = (each * shares[me] / 100.0 + rng.f64()) as u64 * u64::from(calm);
-            let back = fleet.silent > 0.0 && now_is(fleet.silent);
-            for _ in 0..come + 8 * u64::from(back) {
-                let heavy = fleet.heavy && second >= 0.0 || rng.f64() < 1.0 / 3.0;
+            let has_traffic = !(0.0..scenario.silent_s).contains(&second);
+            let arriving = (each * shares[me] / 100.0 + rng.f64()) as u64 * u64::from(has_traffic);
+            let resumes = scenario.silent_s > 0.0 && now_is(scenario.silent_s);
+            for _ in 0..arriving + 8 * u64::from(resumes) {
+                let heavy = scenario.heavy && second >= 0.0 || rng.f64() < 1.0 / 3.0;
                 let (class, work) = if heavy { (SAFE, 2.0) } else { (CHEAP, 0.5) };
-                for (id, endpoint) in sends(&d.call(class).1) {
+                for (id, endpoint) in sends(&d.arrive(class).1) {
                     out.push((second + 0.1 * work, me, id, endpoint, work));
-                    if endpoint.0 == 8 && second >= *told {
+                    if endpoint.0 == 8 && second >= *notified_at {
                         sent_cold.push((second, work));
                     }
                 }
@@ -222,122 +234,139 @@
     sent_cold
 }
 
-/// Work sent within the 2 s of the settings, in the worst window, against what may be put down to chance.
-fn worst(fleet: Fleet, sent: &[(f64, f64)]) -> f64 {
+/// Work sent within the 2 s of the settings, in the worst window, relative to the budget plus what
+/// chance may add.
+fn worst_window(scenario: Scenario, sent: &[(f64, f64)]) -> f64 {
     let windows = sent.iter().enumerate().filter(|(_, s)| s.0 < 10.0).map(|(i, &(at, _))| {
         let work: f64 = sent[..=i].iter().filter(|s| s.0 > at - 2.0).map(|s| s.1).sum();
-        let n = 3.0 * fleet.carries * (0.25 + 0.75 * at / 10.0) * 2.0;
+        let n = 3.0 * scenario.capacity_per_s * (0.25 + 0.75 * at / 10.0) * 2.0;
         work / (n + 2.0 * n.sqrt() + 2.0)
     });
     windows.fold(0.0, f64::max)
 }
 
-const USUAL: Fleet =
-    Fleet { callers: 1, carries: 10.0, silent: 0.0, restarts: false, late: 0.0, heavy: false };
+const BASELINE: Scenario = Scenario {
+    balancers: 1,
+    capacity_per_s: 10.0,
+    silent_s: 0.0,
+    restarts: false,
+    list_delay_s: 0.0,
+    heavy: false,
+};
 
-/// Guards against: credit that each caller saves up while it has no calls. All three hundred back at once
-/// sent 1.6 times what one endpoint stands, and 2.8 times with heavy calls, which counted as one each.
+/// Guards against credit that each balancer saves up while it has no requests. When all three
+/// hundred resumed at once, they sent 1.6 times what one endpoint bears, and 2.8 times with heavy
+/// requests, each of which was counted as one of mean work.
 #[test]
-fn all_callers_together_keep_to_the_budget_and_chance() {
-    let mut broken = Vec::new();
-    for callers in [1, 3, 20, 30, 100, 300] {
-        for fleet in [
-            USUAL,
-            Fleet { restarts: true, ..USUAL },
-            Fleet { late: 3.0, ..USUAL },
-            Fleet { heavy: true, ..USUAL },
-            Fleet { silent: 3.0, ..USUAL },
-            Fleet { silent: 3.0, heavy: true, ..USUAL },
-            Fleet { silent: 3.0, heavy: true, carries: 60.0, ..USUAL },
+fn all_balancers_together_stay_within_cold_budget() {
+    let mut violations = Vec::new();
+    for balancers in [1, 3, 20, 30, 100, 300] {
+        for scenario in [
+            BASELINE,
+            Scenario { restarts: true, ..BASELINE },
+            Scenario { list_delay_s: 3.0, ..BASELINE },
+            Scenario { heavy: true, ..BASELINE },
+            Scenario { silent_s: 3.0, ..BASELINE },
+            Scenario { silent_s: 3.0, heavy: true, ..BASELINE },
+            Scenario { silent_s: 3.0, heavy: true, capacity_per_s: 60.0, ..BASELINE },
         ] {
-            let fleet = Fleet { callers, ..fleet };
-            let most = (1..=5).map(|seed| worst(fleet, &play(fleet, seed))).fold(0.0, f64::max);
-            if most >= 1.0 {
-                broken.push(format!("{most:.2}: {fleet:?}"));
+            let scenario = Scenario { balancers, ..scenario };
+            let worst = (1..=5)
+                .map(|seed| worst_window(scenario, &sends_to_restarted_endpoint(scenario, seed)))
+                .fold(0.0, f64::max);
+            if worst >= 1.0 {
+                violations.push(format!("{worst:.2}: {scenario:?}"));
             }
         }
     }
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// Guards against: a ramp that keeps a fleet below the bound by sending too little. What warms by requests gets
-/// them in about the time that one balancer alone takes.
+/// Guards against a ramp that keeps a fleet below the bound by sending too little: an endpoint that
+/// warms up by serving requests must get them in about the time that one balancer alone takes.
 #[test]
-fn many_callers_warm_an_endpoint_in_about_the_time_of_one() {
-    let plays = |fleet: Fleet| -> Vec<_> { (1..=5).map(|seed| play(fleet, seed)).collect() };
-    let count = |plays: &[Vec<(f64, f64)>]| plays.iter().map(Vec::len).sum::<usize>() as f64;
-    // When three times as many as it serves in a second, warm, have been sent.
-    let time = |plays: &[Vec<(f64, f64)>], carries: f64| -> f64 {
+fn many_balancers_warm_endpoint_about_as_fast_as_one() {
+    let runs = |scenario: Scenario| -> Vec<_> {
+        (1..=5).map(|seed| sends_to_restarted_endpoint(scenario, seed)).collect()
+    };
+    let count = |runs: &[Vec<(f64, f64)>]| runs.iter().map(Vec::len).sum::<usize>() as f64;
+    // When three times as many requests as it serves per second when warm have been sent.
+    let time = |runs: &[Vec<(f64, f64)>], capacity_per_s: f64| -> f64 {
         let reached =
-            |sent: &Vec<(f64, f64)>| sent.get(3 * carries as usize).map_or(f64::INFINITY, |s| s.0);
-        plays.iter().map(reached).sum::<f64>() / plays.len() as f64
+            |sent: &Vec<(f64, f64)>| sent.get(3 * capacity_per_s as usize).map_or(f64::INFINITY, |s| s.0);
+        runs.iter().map(reached).sum::<f64>() / runs.len() as f64
     };
-    let fleets = [(3, 10.0), (20, 10.0), (30, 10.0), (20, 60.0), (30, 60.0), (100, 60.0), (300, 60.0)];
-    for (callers, carries) in fleets {
-        let (alone, all) = (plays(Fleet { carries, ..USUAL }), plays(Fleet { callers, carries, ..USUAL }));
+    let scenarios = [(3, 10.0), (20, 10.0), (30, 10.0), (20, 60.0), (30, 60.0), (100, 60.0), (300, 60.0)];
+    for (balancers, capacity_per_s) in scenarios {
+        let (alone, all) = (
+            runs(Scenario { capacity_per_s, ..BASELINE }),
+            runs(Scenario { balancers, capacity_per_s, ..BASELINE }),
+        );
         let share = count(&all) / count(&alone);
-        assert!(share > 0.5, "{callers} callers send {share:.2} of what one sends");
-        let (all, alone) = (time(&all, carries), time(&alone, carries));
-        assert!(all < alone * 1.5, "{callers} callers take {all:.1} s, one {alone:.1} s");
+        assert!(share > 0.5, "{balancers} balancers send {share:.2} of what one sends");
+        let (all, alone) = (time(&all, capacity_per_s), time(&alone, capacity_per_s));
+        assert!(all < alone * 1.5, "{balancers} balancers take {all:.1} s, one {alone:.1} s");
     }
 }
 
-/// Guards against: a new process that never sends to endpoints all of which are cold, for want of sends and
-/// reports to tell from. It sent nothing until they counted as warm.
+/// Guards against a new process that never sends to its endpoints while all of them are cold,
+/// because it has no sends and reports to derive a budget from. It sent nothing until they counted
+/// as warm.
 #[test]
-fn a_new_process_that_finds_only_cold_endpoints_begins_with_few_calls() {
+fn new_balancer_with_only_cold_endpoints_starts_with_few_requests() {
     let mut count = 0;
     for me in 0..30 {
         let mut d = Driver::new(Settings { me, siblings: 30, ..settings() });
         d.balancer = Balancer::new(Settings { me, siblings: 30, ..settings() }, u64::from(me), d.now);
         let cold: Vec<_> = (1..=8).map(|i| Endpoint { started: Some(d.now), ..endpoint(i) }).collect();
-        d.list(ListKind::Full, &cold);
+        d.update_list(ListKind::Full, &cold);
         for _ in 0..80 {
-            let (id, actions) = d.call(SAFE);
-            if let Some((_, at)) = sent(&actions) {
+            let (id, actions) = d.arrive(SAFE);
+            if let Some((_, at)) = first_send(&actions) {
                 count += 1;
                 d.finish(id, 0, at, Outcome::Ok);
             }
-            d.pass(ms(100));
+            d.advance(ms(100));
         }
     }
-    // Eight endpoints and four windows of 2 s, one call in each window of each.
-    assert!((16..64).contains(&count), "{count} sent in 8 s by all");
+    // Eight endpoints and four windows of 2 s, one request in each window of each.
+    assert!((16..64).contains(&count), "{count} sent in 8 s by all balancers");
 }
 
-/// Guards against: callers of an endpoint counted as if all zones were as large. The first to come back in a lost
-/// zone is the business of all balancers at home there. It was sent 132 calls by them of the 91 that it stands.
+/// Guards against counting the balancers of an endpoint as if all zones had the same size. The
+/// first endpoint to come back in a lost zone is used by all balancers of that zone: they sent it
+/// 132 requests where it bears 91.
 #[test]
-fn an_endpoint_of_a_small_zone_is_shared_by_all_who_call_it() {
+fn cold_budget_in_small_zone_is_shared_by_all_its_balancers() {
     let siblings = 30;
     for back_in in [0, 1] {
         let mut count = 0;
         for me in 0..siblings {
-            let set =
+            let settings =
                 Settings { me, siblings, zone: ZoneId(me as u16 % 2), cross_zone_price: 0.1, ..settings() };
-            let mut d = Driver::new(set.clone());
-            d.balancer = Balancer::new(set, u64::from(me), d.now);
+            let mut d = Driver::new(settings.clone());
+            d.balancer = Balancer::new(settings, u64::from(me), d.now);
             let mut list: Vec<_> =
                 (1..=10).map(|id| Endpoint { zone: ZoneId(1), ..endpoint(id) }).collect();
-            d.list(ListKind::Full, &list);
+            d.update_list(ListKind::Full, &list);
             for step in 0..600 {
                 if step == 400 {
                     list.push(Endpoint { zone: ZoneId(back_in), started: Some(d.now), ..endpoint(11) });
-                    d.list(ListKind::Full, &list);
+                    d.update_list(ListKind::Full, &list);
                 }
-                let (id, actions) = d.call(SAFE);
-                if let Some((_, at)) = sent(&actions) {
+                let (id, actions) = d.arrive(SAFE);
+                if let Some((_, at)) = first_send(&actions) {
                     count += u32::from(at.0 == 11);
                     let report = LoadReport { utilization: Some(0.5), rate: Some(15.0) };
                     d.finish_with(id, 0, at, Outcome::Ok, Some(report).filter(|_| at.0 != 11));
                 }
-                d.pass(ms(10));
+                d.advance(ms(10));
             }
         }
-        // Within its first 2 s it does at most 0.4 of what it does warm, 30 a second.
+        // In its first 2 s it has at most 0.4 of its warm capacity of 30 requests per second.
         let n = 3.0 * 30.0 * 0.4 * 2.0;
-        let most = n + 2.0 * f64::sqrt(n) + 2.0;
+        let bound = n + 2.0 * f64::sqrt(n) + 2.0;
         let sent = f64::from(count);
-        assert!(sent > 5.0 && sent < most, "back in zone {back_in}: {sent} sent, it stands {most:.1}");
+        assert!(sent > 5.0 && sent < bound, "back in zone {back_in}: {sent} sent, it bears {bound:.1}");
     }
 }
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Settings and a driver shared by the tests: it feeds events by hand and hands back actions.
+//! Settings and a driver shared by the tests: the driver passes single events to a balancer and
+//! returns its actions.
 #![allow(dead_code, missing_docs)]
 
 use cottonpoint_decide::*;
@@ -17,7 +18,7 @@
     Class { aim: ms(1000), aim_stretch: 0.0, give_up: ms(3000), worth, late_worth: 0.0, effect }
 }
 
-/// Four classes: safe, keyed over all, unsafe, and a safe one worth an eighth.
+/// Four classes: safe, keyed over all endpoints, unsafe, and a safe one worth an eighth.
 pub fn settings() -> Settings {
     Settings {
         me: 0,
@@ -65,57 +66,57 @@
 pub struct Driver {
     pub balancer: Balancer,
     pub now: Time,
-    next: u64,
+    next_id: u64,
 }
 
 impl Driver {
     pub fn new(settings: Settings) -> Self {
         let now = Time(1_000_000_000);
-        Driver { balancer: Balancer::new(settings, 7, now), now, next: 1 }
+        Driver { balancer: Balancer::new(settings, 7, now), now, next_id: 1 }
     }
 
-    /// A driver whose balancer knows these endpoints.
+    /// A driver whose balancer has these endpoints.
     pub fn with(settings: Settings, entries: &[Endpoint]) -> Self {
         let mut driver = Driver::new(settings);
-        driver.list(ListKind::Full, entries);
+        driver.update_list(ListKind::Full, entries);
         driver
     }
 
-    pub fn event(&mut self, event: Event<'_>) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: &[Endpoint]) -> Vec<Action> {
-        self.event(Event::Endpoints { kind, entries })
+    pub fn update_list(&mut self, kind: ListKind, entries: &[Endpoint]) -> Vec<Action> {
+        self.handle(Event::Endpoints { kind, entries })
     }
 
-    pub fn pass(&mut self, by: Duration) {
+    pub fn advance(&mut self, by: Duration) {
         self.now = self.now + by;
     }
 
-    /// Lets time pass and wakes the balancer, as its timers would.
-    pub fn wake(&mut self, by: Duration) -> Vec<Action> {
-        self.pass(by);
-        self.event(Event::Timer { token: TimerToken(0) })
+    /// Advances time and wakes the balancer, as its timers would.
+    pub fn advance_and_wake(&mut self, by: Duration) -> Vec<Action> {
+        self.advance(by);
+        self.handle(Event::Timer { token: TimerToken(0) })
     }
 
-    /// A call of a class that its client gives up after 3 s.
-    pub fn call(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
-        self.call_of(class, None, ms(3000))
+    /// A request of a class whose client stops waiting after 3 s.
+    pub fn arrive(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
+        self.arrive_with(class, None, ms(3000))
     }
 
-    pub fn call_of(
+    pub fn arrive_with(
         &mut self,
         class: ClassId,
         tenant: Option<TenantId>,
         left: Duration,
     ) -> (RequestId, Vec<Action>) {
-        let id = RequestId(self.next);
-        self.next += 1;
-        let call = Call { id, class, tenant, due: self.now + left, cost: None };
-        (id, self.event(Event::Arrived(call)))
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        let request = Call { id, class, tenant, due: self.now + left, cost: None };
+        (id, self.handle(Event::Arrived(request)))
     }
 
     pub fn finish(
@@ -137,7 +138,7 @@
         report: Option<LoadReport>,
     ) -> Vec<Action> {
         let (closed, elapsed) = (outcome == Outcome::Ok, ms(50));
-        self.event(Event::Finished { id, attempt, endpoint, outcome, closed, elapsed, report })
+        self.handle(Event::Finished { id, attempt, endpoint, outcome, closed, elapsed, report })
     }
 
     pub fn finish_after(
@@ -149,12 +150,12 @@
         elapsed: Duration,
     ) -> Vec<Action> {
         let (closed, report) = (outcome == Outcome::Ok, None);
-        self.event(Event::Finished { id, attempt, endpoint, outcome, closed, elapsed, report })
+        self.handle(Event::Finished { id, attempt, endpoint, outcome, closed, elapsed, report })
     }
 }
 
-/// Where the actions send a call, if they do.
-pub fn sent(actions: &[Action]) -> Option<(RequestId, EndpointId)> {
+/// The first attempt that the actions send, if any.
+pub fn first_send(actions: &[Action]) -> Option<(RequestId, EndpointId)> {
     sends(actions).first().copied()
 }
 
@@ -182,23 +183,23 @@
     actions.iter().filter_map(failure).collect()
 }
 
-/// Settings under which the limit can fall to 2: as many siblings as endpoints.
-pub fn crowded(endpoints: u32) -> Settings {
-    Settings { siblings: endpoints, ..settings() }
+/// Settings with this many balancers. With as many balancers as endpoints, the limit can fall to 2.
+pub fn settings_with_balancers(count: u32) -> Settings {
+    Settings { siblings: count, ..settings() }
 }
 
-/// Brings the limit down to its least: every other call times out, and the endpoints that time out answer
-/// others. Returns with nothing running.
+/// Lowers the limit to its minimum: every other request times out, and the endpoints that time out
+/// answer other requests. Returns with nothing running.
 pub fn overload(driver: &mut Driver) {
     for round in 0..60 {
-        let calls: Vec<_> = (0..6).map(|_| driver.call(UNSAFE)).collect();
-        driver.pass(ms(900));
-        for (n, (id, actions)) in calls.into_iter().enumerate() {
-            if let Some((_, endpoint)) = sent(&actions) {
-                let ok = n % 2 == 0 && round < 59;
-                driver.finish(id, 0, endpoint, if ok { Outcome::Ok } else { Outcome::TimedOut });
+        let requests: Vec<_> = (0..6).map(|_| driver.arrive(UNSAFE)).collect();
+        driver.advance(ms(900));
+        for (n, (id, actions)) in requests.into_iter().enumerate() {
+            if let Some((_, endpoint)) = first_send(&actions) {
+                let served = n % 2 == 0 && round < 59;
+                driver.finish(id, 0, endpoint, if served { Outcome::Ok } else { Outcome::TimedOut });
             }
         }
-        driver.wake(ms(3000));
+        driver.advance_and_wake(ms(3000));
     }
 }
--- a/crates/decide/tests/discovery.rs
+++ b/crates/decide/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Pushed and on-request discovery.
+//! Pushed discovery and discovery on request.
 
 mod common;
 use common::*;
@@ -11,7 +11,7 @@
     (Balancer::new(s, seed, now), now)
 }
 
-/// Lets time pass in small steps until the balancer subscribes; says how long that took.
+/// Advances time in small steps until the balancer subscribes; returns how long that took.
 fn until_subscribed(b: &mut Balancer, start: Time, first: Event<'_>) -> std::time::Duration {
     let mut actions = Vec::new();
     b.handle(start, first, &mut actions);
@@ -26,58 +26,58 @@
 }
 
 #[test]
-fn it_works_from_the_cached_list_at_once_and_subscribes_within_bounds_spread_out() {
-    let mut waits = Vec::new();
+fn cached_list_is_used_at_once_and_subscriptions_are_spread_out() {
+    let mut delays = Vec::new();
     for seed in 0..20 {
         let (mut b, now) = on_request(seed);
         let list = [endpoint(1)];
         let cached = Event::Endpoints { kind: ListKind::Full, entries: &list };
-        waits.push(until_subscribed(&mut b, now, cached));
+        delays.push(until_subscribed(&mut b, now, cached));
         let mut actions = Vec::new();
-        let call = Call { id: RequestId(1), class: SAFE, tenant: None, due: now + ms(9000), cost: None };
-        b.handle(now + ms(4000), Event::Arrived(call), &mut actions);
-        assert!(sent(&actions).is_some());
+        let request = Call { id: RequestId(1), class: SAFE, tenant: None, due: now + ms(9000), cost: None };
+        b.handle(now + ms(4000), Event::Arrived(request), &mut actions);
+        assert!(first_send(&actions).is_some());
     }
-    let (least, most) = (waits.iter().min().unwrap(), waits.iter().max().unwrap());
-    assert!(*most <= ms(5000), "{most:?}");
-    assert!(*most - *least > ms(1000), "all at once: {waits:?}");
+    let (shortest, longest) = (delays.iter().min().unwrap(), delays.iter().max().unwrap());
+    assert!(*longest <= ms(5000), "{longest:?}");
+    assert!(*longest - *shortest > ms(1000), "all subscribe at about the same time: {delays:?}");
 }
 
 #[test]
-fn it_subscribes_again_after_failures_later_each_time_but_within_bounds() {
+fn subscription_backs_off_after_failures_within_bounds() {
     let (mut b, now) = on_request(3);
     let mut at = now + until_subscribed(&mut b, now, Event::DiscoveryFailed);
-    let mut waits = Vec::new();
+    let mut delays = Vec::new();
     for _ in 0..6 {
-        let wait = until_subscribed(&mut b, at, Event::DiscoveryFailed);
-        waits.push(wait);
-        at = at + wait;
+        let delay = until_subscribed(&mut b, at, Event::DiscoveryFailed);
+        delays.push(delay);
+        at = at + delay;
     }
-    assert!(waits[0] < ms(2000), "{waits:?}");
-    assert!(waits[5] > waits[0], "{waits:?}");
-    assert!(waits.iter().all(|w| *w < ms(10_000)), "{waits:?}");
+    assert!(delays[0] < ms(2000), "{delays:?}");
+    assert!(delays[5] > delays[0], "{delays:?}");
+    assert!(delays.iter().all(|w| *w < ms(10_000)), "{delays:?}");
 }
 
 #[test]
-fn an_unanswered_subscription_is_asked_again_within_bounds() {
+fn unanswered_subscription_is_repeated_in_time() {
     let (mut b, now) = on_request(4);
     let list = [endpoint(1)];
     let cached = Event::Endpoints { kind: ListKind::Full, entries: &list };
     let at = now + until_subscribed(&mut b, now, cached);
-    let nothing = Event::Departed { id: RequestId(9) };
+    let unrelated = Event::Departed { id: RequestId(9) };
     let mut actions = Vec::new();
     for after in 0..=100 {
-        b.handle(at + ms(after * 100), nothing, &mut actions);
+        b.handle(at + ms(after * 100), unrelated, &mut actions);
     }
     assert!(actions.contains(&Action::Subscribe));
 }
 
 #[test]
-fn a_balancer_with_pushed_discovery_never_asks() {
+fn balancer_with_pushed_discovery_never_subscribes() {
     let mut d = Driver::new(settings());
-    let mut actions = d.event(Event::DiscoveryFailed);
+    let mut actions = d.handle(Event::DiscoveryFailed);
     for _ in 0..100 {
-        actions.extend(d.wake(ms(500)));
+        actions.extend(d.advance_and_wake(ms(500)));
     }
     assert!(!actions.contains(&Action::Subscribe));
 }
