--- a/crates/decide/src/interface/settings.rs
+++ b/crates/decide/src/interface/settings.rs
@@ -37,12 +37,12 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Latency target: an answer within this time of arrival has its full worth.
-    pub aim: Duration,
+    /// An answer within this time of arrival has its full worth.
+    pub latency_target: Duration,
     /// The latency target grows by this multiple of the request's own expected work.
-    pub aim_stretch: f64,
-    /// Client timeout: how long a client waits in all, over its retries.
-    pub give_up: Duration,
+    pub latency_target_stretch: f64,
+    /// How long a client waits in all, over its retries.
+    pub client_timeout: Duration,
     /// Worth of an answer within the latency target.
     pub worth: f64,
     /// Fraction of the worth that an answer after the latency target still has.
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -27,9 +27,9 @@
 //!     zone: ZoneId(0),
 //!     from_clients: true,
 //!     classes: vec![Class {
-//!         aim: ms(500),
-//!         aim_stretch: 0.0,
-//!         give_up: ms(2000),
+//!         latency_target: ms(500),
+//!         latency_target_stretch: 0.0,
+//!         client_timeout: ms(2000),
 //!         worth: 1.0,
 //!         late_worth: 0.0,
 //!         effect: Effect::Safe,
--- a/crates/decide/src/policy/attempts.rs
+++ b/crates/decide/src/policy/attempts.rs
@@ -139,7 +139,7 @@
             !was_failing && !unrelated_to_load && !matches!(outcome, Outcome::Cancelled | Outcome::Moot);
         if outcome == Outcome::Ok || counts_for_limit {
             // An answer later than the whole latency target counts as a time-out.
-            let late = outcome == Outcome::Ok && elapsed > self.settings.classes[class].aim;
+            let late = outcome == Outcome::Ok && elapsed > self.settings.classes[class].latency_target;
             self.update_limit(if late { Outcome::TimedOut } else { outcome }, sent_at);
         }
         if closed {
--- a/crates/decide/src/policy/levels.rs
+++ b/crates/decide/src/policy/levels.rs
@@ -141,19 +141,22 @@
             return;
         }
         self.retry_budget = (self.retry_budget + RETRY_BUDGET_PER_REQUEST).min(RETRY_BUDGET_MAX);
-        let stretch = call.cost.map_or(0.0, |c| c.as_secs_f64() * class.aim_stretch.max(0.0));
-        let latency_target = class.aim + Duration::try_from_secs_f64(stretch).unwrap_or_default();
+        let stretch = call.cost.map_or(0.0, |c| c.as_secs_f64() * class.latency_target_stretch.max(0.0));
+        let latency_target =
+            class.latency_target + Duration::try_from_secs_f64(stretch).unwrap_or_default();
         let remaining = call.due.since(self.now);
-        let client_started =
-            if self.settings.from_clients && !self.is_first_request(&call, remaining, class.give_up) {
-                call.due - class.give_up
-            } else {
-                self.now
-            };
+        let client_started = if self.settings.from_clients
+            && !self.is_first_request(&call, remaining, class.client_timeout)
+        {
+            call.due - class.client_timeout
+        } else {
+            self.now
+        };
         let worth_until =
             if class.late_worth > 0.0 { call.due } else { (client_started + latency_target).min(call.due) };
         let usual_service = Duration::from_secs_f64(self.class_service_time_s[usize::from(call.class.0)]);
-        let queue_deadline = (self.now + class.aim.mul_f64(WAIT_SHARE)).min(worth_until - usual_service);
+        let queue_deadline =
+            (self.now + class.latency_target.mul_f64(WAIT_SHARE)).min(worth_until - usual_service);
         let level = self.priority_level(&call);
         let width = width_of(class.effect);
         let flow = call.tenant.map_or(u64::MAX, |t| u64::from(t.0));
@@ -195,12 +198,12 @@
     /// the usual one is found by majority vote over the class's requests. A client retry has what
     /// is left of the client timeout instead, which tells when the client began: an answer that
     /// comes later than the latency target counted from there is worthless.
-    fn is_first_request(&mut self, call: &Call, remaining: Duration, give_up: Duration) -> bool {
+    fn is_first_request(&mut self, call: &Call, remaining: Duration, client_timeout: Duration) -> bool {
         let (usual_timeout, votes) = &mut self.usual_timeouts[usize::from(call.class.0)];
         if *votes == 0 {
             *usual_timeout = remaining;
         }
-        let is_first = remaining.abs_diff(*usual_timeout) < give_up / 100;
+        let is_first = remaining.abs_diff(*usual_timeout) < client_timeout / 100;
         *votes = if is_first { (*votes + 1).min(100) } else { *votes - 1 };
         is_first
     }
--- a/crates/decide/src/policy/mod.rs
+++ b/crates/decide/src/policy/mod.rs
@@ -94,14 +94,15 @@
         let classes = settings.classes.len();
         let usable_worth = |w: f64| if w.is_finite() && w > 0.0 { w } else { 0.0 };
         let max_worth = settings.classes.iter().map(|c| usable_worth(c.worth)).fold(0.0, f64::max);
-        let service_guess_s = settings.classes.iter().map(|c| c.aim.as_secs_f64()).fold(0.001, f64::max);
+        let service_guess_s =
+            settings.classes.iter().map(|c| c.latency_target.as_secs_f64()).fold(0.001, f64::max);
         let mut balancer = Balancer {
             rng: fastrand::Rng::with_seed(seed),
             now,
             shortest_target_s: settings
                 .classes
                 .iter()
-                .map(|c| c.aim.as_secs_f64())
+                .map(|c| c.latency_target.as_secs_f64())
                 .fold(service_guess_s, f64::min),
             max_class_worth: if max_worth > 0.0 { max_worth } else { 1.0 },
             quota_buckets: vec![(f64::INFINITY, now); settings.tenants.len()],
--- a/crates/decide/src/policy/tests.rs
+++ b/crates/decide/src/policy/tests.rs
@@ -6,9 +6,9 @@
 
 fn balancer(endpoints: u64) -> (Balancer, Vec<Action>) {
     let class = |worth, effect| Class {
-        aim: MS(1000),
-        aim_stretch: 0.0,
-        give_up: MS(4000),
+        latency_target: MS(1000),
+        latency_target_stretch: 0.0,
+        client_timeout: MS(4000),
         worth,
         late_worth: 0.0,
         effect,
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -15,7 +15,14 @@
 }
 
 pub fn class(worth: f64, effect: Effect) -> Class {
-    Class { aim: ms(1000), aim_stretch: 0.0, give_up: ms(3000), worth, late_worth: 0.0, effect }
+    Class {
+        latency_target: ms(1000),
+        latency_target_stretch: 0.0,
+        client_timeout: ms(3000),
+        worth,
+        late_worth: 0.0,
+        effect,
+    }
 }
 
 /// Four classes: safe, keyed over all endpoints, unsafe, and a safe one worth an eighth.
--- a/crates/decide/tests/random.rs
+++ b/crates/decide/tests/random.rs
@@ -37,7 +37,7 @@
         s.classes[1].effect = Effect::Keyed { scope: scopes[rng.usize(..3)], window: ms(rng.u64(1..3000)) };
         s.classes[0].late_worth = f64::from(rng.u8(..2)) * 0.5;
         s.classes[2].worth = [8.0, 0.0, f64::NAN, f64::INFINITY][rng.usize(..4)];
-        s.classes[3].aim = ms(rng.u64(0..2000));
+        s.classes[3].latency_target = ms(rng.u64(0..2000));
         s.siblings = rng.u32(0..40);
         s.me = rng.u32(0..40);
         s.from_clients = rng.bool();
--- a/crates/lab/src/policies/rival/mod.rs
+++ b/crates/lab/src/policies/rival/mod.rs
@@ -76,7 +76,7 @@
         limit: Limiting,
         budget: bool,
     ) -> Rival {
-        let work = set.classes.iter().map(|c| c.aim.as_secs_f64() / 10.0).collect();
+        let work = set.classes.iter().map(|c| c.latency_target.as_secs_f64() / 10.0).collect();
         let asked = matches!(set.discovery, Discovery::OnRequest { .. }).then_some(now);
         Rival {
             limit: Limit::new(limit),
@@ -148,8 +148,9 @@
         let Some(class) = self.set.classes.get(usize::from(call.class.0)) else {
             return actions.push(Action::Refuse { id: call.id, retry_after: None });
         };
-        let worth_until = if class.late_worth > 0.0 { call.due } else { (now + class.aim).min(call.due) };
-        let wait = class.aim.mul_f64(WAIT_SHARE);
+        let worth_until =
+            if class.late_worth > 0.0 { call.due } else { (now + class.latency_target).min(call.due) };
+        let wait = class.latency_target.mul_f64(WAIT_SHARE);
         if let Some(budget) = &mut self.budget {
             *budget = (*budget + 0.2).min(20.0);
         }
--- a/crates/lab/src/world/fleet.rs
+++ b/crates/lab/src/world/fleet.rs
@@ -102,9 +102,9 @@
     let cold_from = kinds.iter().map(|k| k.cold_from.from).fold(1.0, f64::min);
     let warm_after = kinds.iter().map(|k| k.cold_for.to).max().unwrap_or_default();
     let class = |c: &crate::scenario::Class| decide::Class {
-        aim: c.aim.duration(),
-        aim_stretch: 0.0,
-        give_up: c.give_up.duration(),
+        latency_target: c.aim.duration(),
+        latency_target_stretch: 0.0,
+        client_timeout: c.give_up.duration(),
         worth: c.worth,
         late_worth: c.late_worth,
         effect: match c.effect {
--- a/crates/net/src/clients/mod.rs
+++ b/crates/net/src/clients/mod.rs
@@ -179,7 +179,7 @@
     /// until [`Clients::leave`], each new flow due by the stop's last answer.
     pub fn stop(&self) -> Stop {
         let classes = &self.platform.borrow().balancer.classes;
-        let longest = classes.iter().map(|c| c.give_up).max().unwrap_or_default();
+        let longest = classes.iter().map(|c| c.client_timeout).max().unwrap_or_default();
         let stop = Stop::new(self.sidecar.clock().now(), longest);
         self.stop.set(Some(stop));
         stop
--- a/crates/net/src/clients/take_in.rs
+++ b/crates/net/src/clients/take_in.rs
@@ -103,10 +103,10 @@
     let left = match head.get("x-time-left-ms") {
         // Digits only: no sign, no fraction, and no more than a number holds.
         Some(text) => match text.parse().ok().filter(|_| text.bytes().all(|b| b.is_ascii_digit())) {
-            Some(ms) => Duration::from_millis(ms).min(rules.give_up),
+            Some(ms) => Duration::from_millis(ms).min(rules.client_timeout),
             None => return bad("the time left is no number of milliseconds"),
         },
-        None => rules.give_up,
+        None => rules.client_timeout,
     };
     let outgoing = Outgoing { head: passed_on(head, body.len()), body };
     let class_name = platform.classes[class].clone();
--- a/crates/settings/src/written.rs
+++ b/crates/settings/src/written.rs
@@ -193,9 +193,9 @@
             Semantics::NonIdempotent => Effect::Unsafe,
         };
         let class = Class {
-            aim: above_zero(self.aim_ns),
-            aim_stretch: self.aim_stretch.unwrap_or_default().0,
-            give_up: above_zero(self.give_up_ns),
+            latency_target: above_zero(self.aim_ns),
+            latency_target_stretch: self.aim_stretch.unwrap_or_default().0,
+            client_timeout: above_zero(self.give_up_ns),
             worth: self.worth.0,
             late_worth: self.late_worth.unwrap_or_default().0,
             effect,
