--- a/crates/decide/benches/decision.rs
+++ b/crates/decide/benches/decision.rs
@@ -17,7 +17,7 @@
 fn driver_with(endpoints: u64) -> Driver {
     let mut settings = settings();
     // A fleet of that size has balancers in proportion.
-    settings.siblings = (endpoints / 10) as u32;
+    settings.balancer_count = (endpoints / 10) as u32;
     let entries: Vec<Endpoint> = (0..endpoints).map(endpoint).collect();
     let mut driver = Driver::with(settings, &entries);
     // Every endpoint of the subset has been used, as after a while in service.
--- a/crates/decide/src/interface/settings.rs
+++ b/crates/decide/src/interface/settings.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Index of this balancer among those that send to the same endpoints, from 0.
-    pub me: u32,
+    pub balancer_index: u32,
     /// Number of balancers that send to the same endpoints, this one included.
-    pub siblings: u32,
+    pub balancer_count: u32,
     /// The zone that this balancer runs in.
     pub zone: ZoneId,
     /// Whether requests come directly from clients, whose retries have only what is left of the
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -22,8 +22,8 @@
 //!
 //! let ms = Duration::from_millis;
 //! let settings = Settings {
-//!     me: 0,
-//!     siblings: 4,
+//!     balancer_index: 0,
+//!     balancer_count: 4,
 //!     zone: ZoneId(0),
 //!     from_clients: true,
 //!     classes: vec![Class {
--- a/crates/decide/src/policy/levels.rs
+++ b/crates/decide/src/policy/levels.rs
@@ -109,7 +109,7 @@
     /// token bucket of a few seconds' worth) is used up.
     pub(super) fn charge_quota(&mut self, tenant: usize) -> bool {
         let Some(t) = self.settings.tenants.get(tenant) else { return false };
-        let rate = t.quota_per_s / f64::from(self.settings.siblings.max(1));
+        let rate = t.quota_per_s / f64::from(self.settings.balancer_count.max(1));
         let (tokens, refilled_at) = &mut self.quota_buckets[tenant];
         *tokens = (*tokens + rate * self.now.since(*refilled_at).as_secs_f64())
             .min((rate * AVERAGING_TIME_S).max(4.0));
--- a/crates/decide/src/policy/limit.rs
+++ b/crates/decide/src/policy/limit.rs
@@ -46,7 +46,7 @@
 
     fn min_limit(&self) -> f64 {
         let minimum =
-            LIMIT_MIN * (self.ready.len() as f64 / f64::from(self.settings.siblings.max(1))).max(1.0);
+            LIMIT_MIN * (self.ready.len() as f64 / f64::from(self.settings.balancer_count.max(1))).max(1.0);
         minimum.max(self.subset_capacity() * LIMIT_MIN_CAPACITY_SHARE)
     }
 }
--- a/crates/decide/src/policy/targets.rs
+++ b/crates/decide/src/policy/targets.rs
@@ -175,9 +175,9 @@
     /// the same number of subsets.
     fn select_subsets(&mut self) {
         (self.local_subset, self.remote_subset) = (Vec::new(), Vec::new());
-        let siblings = f64::from(self.settings.siblings.max(1));
-        let wanted = (BALANCERS_PER_ENDPOINT * self.ready.len() as f64 / siblings).ceil() as usize;
-        let position = (f64::from(self.settings.me) * 0.618_033_988_749_894_9).fract();
+        let balancer_count = f64::from(self.settings.balancer_count.max(1));
+        let wanted = (BALANCERS_PER_ENDPOINT * self.ready.len() as f64 / balancer_count).ceil() as usize;
+        let position = (f64::from(self.settings.balancer_index) * 0.618_033_988_749_894_9).fract();
         let crossing_has_price = self.settings.cross_zone_price > 0.0;
         let zones: HashSet<_> = self.ready.iter().map(|&i| self.endpoints[i].info.zone).collect();
         for is_local in [true, false] {
@@ -202,7 +202,7 @@
             } else {
                 self.ready.len()
             };
-            let balancers = (siblings * pool.len() as f64 / shared_among as f64).max(1.0);
+            let balancers = (balancer_count * pool.len() as f64 / shared_among as f64).max(1.0);
             pool.iter().for_each(|&i| self.endpoints[i].balancers = balancers);
         }
     }
--- a/crates/decide/src/policy/tests.rs
+++ b/crates/decide/src/policy/tests.rs
@@ -14,8 +14,8 @@
         effect,
     };
     let settings = Settings {
-        me: 0,
-        siblings: 1,
+        balancer_index: 0,
+        balancer_count: 1,
         zone: ZoneId(0),
         from_clients: true,
         classes: vec![class(8.0, Effect::Safe), class(8.0, Effect::Unsafe), class(3.0, Effect::Safe)],
--- a/crates/decide/tests/cold_start.rs
+++ b/crates/decide/tests/cold_start.rs
@@ -5,9 +5,9 @@
 use cottonpoint_decide::*;
 use std::time::Duration;
 
-fn sends_to_cold(siblings: u32, every_ms: u64, warm: u64, seconds: u64) -> Vec<u64> {
+fn sends_to_cold(balancer_count: u32, every_ms: u64, warm: u64, seconds: u64) -> Vec<u64> {
     let mut s = settings();
-    s.siblings = siblings;
+    s.balancer_count = balancer_count;
     let list: Vec<_> = (1..=warm).map(endpoint).collect();
     let mut d = Driver::with(s, &list);
     let mut times = Vec::new();
@@ -92,13 +92,13 @@
 /// For each second after a release, how many requests per second all balancers together send to
 /// `cold` freshly started endpoints; the `warm` ones report that they carry `rate` requests per
 /// second at `util`.
-fn fleet_sends_to_cold(siblings: u32, warm: u64, cold: u64, rate: f64, util: f64) -> Vec<f64> {
+fn fleet_sends_to_cold(balancer_count: u32, warm: u64, cold: u64, rate: f64, util: f64) -> Vec<f64> {
     let report = Some(LoadReport { utilization: Some(util), rate: Some(rate) });
     let mut sent_cold = vec![0.0; 6];
-    for me in 0..siblings {
+    for balancer_index in 0..balancer_count {
         let list: Vec<_> = (1..=warm).map(endpoint).collect();
-        let mut d = Driver::with(Settings { me, siblings, ..settings() }, &list);
-        let every = Duration::from_secs_f64(f64::from(siblings) / (warm as f64 * rate));
+        let mut d = Driver::with(Settings { balancer_index, balancer_count, ..settings() }, &list);
+        let every = Duration::from_secs_f64(f64::from(balancer_count) / (warm as f64 * rate));
         let mut started = None;
         for n in 0.. {
             let second = (every * n).as_secs_f64() - 5.0;
@@ -166,8 +166,8 @@
     let before: Vec<_> = (1..=8).map(endpoint).collect();
     let mut after = before.clone();
     after[7].started = Some(start);
-    let driver_of = |me: u32, now: Time, list: &[Endpoint], seed: u64| {
-        let settings = Settings { me, siblings: scenario.balancers, ..settings() };
+    let driver_of = |balancer_index: u32, now: Time, list: &[Endpoint], seed: u64| {
+        let settings = Settings { balancer_index, balancer_count: scenario.balancers, ..settings() };
         let mut d = Driver::new(settings.clone());
         (d.now, d.balancer) = (now, Balancer::new(settings, seed, now));
         d.update_list(ListKind::Full, list);
@@ -178,9 +178,9 @@
     let shares: Vec<_> = (0..scenario.balancers).map(|_| (1.0 / (1.0 - rng.f64())).min(8.0)).collect();
     let each = 0.75 * 8.0 * scenario.capacity_per_s / shares.iter().sum::<f64>();
     let mut balancers: Vec<_> = (0..scenario.balancers)
-        .map(|me| {
+        .map(|balancer_index| {
             (
-                driver_of(me, begin, &before, rng.u64(..)),
+                driver_of(balancer_index, begin, &before, rng.u64(..)),
                 scenario.list_delay_s * rng.f64(),
                 1.0 + 2.0 * rng.f64(),
             )
@@ -191,16 +191,17 @@
     for step in 0..1600_u64 {
         let (now, second) = (begin + ms(step * 10), step as f64 / 100.0 - 6.0);
         let now_is = |at: f64| second >= at && second < at + 0.01;
-        for (me, (d, notified_at, restarts_at)) in balancers.iter_mut().enumerate() {
+        for (balancer_index, (d, notified_at, restarts_at)) in balancers.iter_mut().enumerate() {
             d.now = now;
             if now_is(*notified_at) {
                 d.update_list(ListKind::Full, &after);
             }
             if scenario.restarts && now_is(*restarts_at) {
-                *d = driver_of(me as u32, now, &after, rng.u64(..));
-                out.retain(|&(_, balancer, ..)| balancer != me);
+                *d = driver_of(balancer_index as u32, now, &after, rng.u64(..));
+                out.retain(|&(_, balancer, ..)| balancer != balancer_index);
             }
-            for (_, _, id, endpoint, work) in out.extract_if(.., |o| o.1 == me && o.0 <= second) {
+            for (_, _, id, endpoint, work) in out.extract_if(.., |o| o.1 == balancer_index && o.0 <= second)
+            {
                 let report =
                     LoadReport { utilization: Some(0.5), rate: Some(scenario.capacity_per_s / 2.0) };
                 let (report, elapsed) =
@@ -217,13 +218,14 @@
                 });
             }
             let has_traffic = !(0.0..scenario.silent_s).contains(&second);
-            let arriving = (each * shares[me] / 100.0 + rng.f64()) as u64 * u64::from(has_traffic);
+            let arriving =
+                (each * shares[balancer_index] / 100.0 + rng.f64()) as u64 * u64::from(has_traffic);
             let resumes = scenario.silent_s > 0.0 && now_is(scenario.silent_s);
             for _ in 0..arriving + 8 * u64::from(resumes) {
                 let heavy = scenario.heavy && second >= 0.0 || rng.f64() < 1.0 / 3.0;
                 let (class, work) = if heavy { (SAFE, 2.0) } else { (CHEAP, 0.5) };
                 for (id, endpoint) in sends(&d.arrive(class).1) {
-                    out.push((second + 0.1 * work, me, id, endpoint, work));
+                    out.push((second + 0.1 * work, balancer_index, id, endpoint, work));
                     if endpoint.0 == 8 && second >= *notified_at {
                         sent_cold.push((second, work));
                     }
@@ -315,9 +317,13 @@
 #[test]
 fn new_balancer_with_only_cold_endpoints_starts_with_few_requests() {
     let mut count = 0;
-    for me in 0..30 {
-        let mut d = Driver::new(Settings { me, siblings: 30, ..settings() });
-        d.balancer = Balancer::new(Settings { me, siblings: 30, ..settings() }, u64::from(me), d.now);
+    for balancer_index in 0..30 {
+        let mut d = Driver::new(Settings { balancer_index, balancer_count: 30, ..settings() });
+        d.balancer = Balancer::new(
+            Settings { balancer_index, balancer_count: 30, ..settings() },
+            u64::from(balancer_index),
+            d.now,
+        );
         let cold: Vec<_> = (1..=8).map(|i| Endpoint { started: Some(d.now), ..endpoint(i) }).collect();
         d.update_list(ListKind::Full, &cold);
         for _ in 0..80 {
@@ -338,14 +344,19 @@
 /// 132 requests where it bears 91.
 #[test]
 fn cold_budget_in_small_zone_is_shared_by_all_its_balancers() {
-    let siblings = 30;
+    let balancer_count = 30;
     for back_in in [0, 1] {
         let mut count = 0;
-        for me in 0..siblings {
-            let settings =
-                Settings { me, siblings, zone: ZoneId(me as u16 % 2), cross_zone_price: 0.1, ..settings() };
+        for balancer_index in 0..balancer_count {
+            let settings = Settings {
+                balancer_index,
+                balancer_count,
+                zone: ZoneId(balancer_index as u16 % 2),
+                cross_zone_price: 0.1,
+                ..settings()
+            };
             let mut d = Driver::new(settings.clone());
-            d.balancer = Balancer::new(settings, u64::from(me), d.now);
+            d.balancer = Balancer::new(settings, u64::from(balancer_index), d.now);
             let mut list: Vec<_> =
                 (1..=10).map(|id| Endpoint { zone: ZoneId(1), ..endpoint(id) }).collect();
             d.update_list(ListKind::Full, &list);
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -28,8 +28,8 @@
 /// Four classes: safe, keyed over all endpoints, unsafe, and a safe one worth an eighth.
 pub fn settings() -> Settings {
     Settings {
-        me: 0,
-        siblings: 1,
+        balancer_index: 0,
+        balancer_count: 1,
         zone: ZoneId(0),
         from_clients: true,
         classes: vec![
@@ -192,7 +192,7 @@
 
 /// Settings with this many balancers. With as many balancers as endpoints, the limit can fall to 2.
 pub fn settings_with_balancers(count: u32) -> Settings {
-    Settings { siblings: count, ..settings() }
+    Settings { balancer_count: count, ..settings() }
 }
 
 /// Lowers the limit to its minimum: every other request times out, and the endpoints that time out
--- a/crates/decide/tests/dispatch.rs
+++ b/crates/decide/tests/dispatch.rs
@@ -123,16 +123,16 @@
 fn subsets_are_bounded_evenly_spread_and_refilled() {
     let endpoints: Vec<_> = (1..=200).map(endpoint).collect();
     let mut balancers_by_endpoint: BTreeMap<u64, usize> = BTreeMap::new();
-    for me in 0..100 {
+    for balancer_index in 0..100 {
         let mut s = settings();
-        (s.me, s.siblings) = (me, 100);
+        (s.balancer_index, s.balancer_count) = (balancer_index, 100);
         let mut d = Driver::with(s, &endpoints);
         let counts = serve(&mut d, 200, |_| None);
         assert_eq!(counts.len(), 12, "six balancers per endpoint");
         for id in counts.keys() {
             *balancers_by_endpoint.entry(*id).or_default() += 1;
         }
-        if me == 0 {
+        if balancer_index == 0 {
             let removed = *counts.keys().next().unwrap();
             d.update_list(ListKind::Delta, &[Endpoint { state: EndpointState::Gone, ..endpoint(removed) }]);
             let after = serve(&mut d, 200, |_| None);
--- a/crates/decide/tests/limit.rs
+++ b/crates/decide/tests/limit.rs
@@ -145,7 +145,7 @@
 fn minimum_limit_is_two_requests_per_endpoint_over_all_balancers() {
     // Guards against limits of two for each balancer, which left most endpoints idle.
     let mut s = settings_with_balancers(20);
-    s.siblings = 20;
+    s.balancer_count = 20;
     let mut d = Driver::with(s, &hundred_endpoints());
     overload(&mut d);
     assert_eq!(measure_limit(&mut d), 10, "2 * 100 endpoints / 20 balancers");
@@ -189,12 +189,12 @@
 /// must be served well within a latency target of 1 s.
 #[test]
 fn outstanding_requests_stay_within_what_endpoint_serves_in_time() {
-    let (siblings, endpoints, capacity) = (17, 16, 40.0);
+    let (balancer_count, endpoints, capacity) = (17, 16, 40.0);
     let report = Some(LoadReport { utilization: Some(0.25), rate: Some(capacity * 0.25) });
     let mut outstanding = std::collections::BTreeMap::<u64, u32>::new();
-    for me in 0..siblings {
+    for balancer_index in 0..balancer_count {
         let list: Vec<_> = (1..=endpoints).map(endpoint).collect();
-        let mut d = Driver::with(Settings { me, siblings, ..settings() }, &list);
+        let mut d = Driver::with(Settings { balancer_index, balancer_count, ..settings() }, &list);
         for _ in 0..100 {
             let (id, actions) = d.arrive(SAFE);
             let (_, at) = first_send(&actions).expect("sent at once below the limit");
--- a/crates/decide/tests/random.rs
+++ b/crates/decide/tests/random.rs
@@ -38,8 +38,8 @@
         s.classes[0].late_worth = f64::from(rng.u8(..2)) * 0.5;
         s.classes[2].worth = [8.0, 0.0, f64::NAN, f64::INFINITY][rng.usize(..4)];
         s.classes[3].latency_target = ms(rng.u64(0..2000));
-        s.siblings = rng.u32(0..40);
-        s.me = rng.u32(0..40);
+        s.balancer_count = rng.u32(0..40);
+        s.balancer_index = rng.u32(0..40);
         s.from_clients = rng.bool();
         s.over_quota_worth = [0.1, 0.0, f64::NAN][rng.usize(..3)];
         s.tenants = (0..rng.usize(..4)).map(|i| Tenant { quota_per_s: i as f64 }).collect();
--- a/crates/lab/src/world/fleet.rs
+++ b/crates/lab/src/world/fleet.rs
@@ -117,8 +117,8 @@
     };
     let over = s.tenants.iter().map(|t| t.over_share_worth).fold(1.0, f64::min);
     decide::Settings {
-        me: 0,
-        siblings: 1,
+        balancer_index: 0,
+        balancer_count: 1,
         zone: decide::ZoneId(0),
         from_clients: tier == 0,
         classes: s.classes.iter().map(class).collect(),
--- a/crates/lab/src/world/life.rs
+++ b/crates/lab/src/world/life.rs
@@ -37,8 +37,8 @@
 
     fn new_decider(&self, number: u32, tier: usize, me: u32, process: u32) -> Box<dyn Decider> {
         let mut settings = self.drawn.settings[tier].clone();
-        settings.me = me;
-        settings.siblings = match tier {
+        settings.balancer_index = me;
+        settings.balancer_count = match tier {
             0 => self.scenario.tiers[0].sidecars.map_or(1, |n| n.to.round() as u32),
             _ => self.registry[tier - 1].len() as u32,
         };
--- a/crates/program/src/config.rs
+++ b/crates/program/src/config.rs
@@ -218,7 +218,7 @@
         writeln!(f, "name         {}", self.name)?;
         writeln!(f, "listen       {}", self.listen)?;
         writeln!(f, "discovery    {}", self.discovery)?;
-        writeln!(f, "balancer     {} of {}", balancer.me, balancer.siblings)?;
+        writeln!(f, "balancer     {} of {}", balancer.balancer_index, balancer.balancer_count)?;
         writeln!(f, "classes      {}", self.platform.classes.join(", "))?;
         writeln!(f, "tenants      {}", self.platform.tenants.join(", "))?;
         writeln!(
--- a/crates/settings/src/written.rs
+++ b/crates/settings/src/written.rs
@@ -250,8 +250,8 @@
             return Err(BadSetting::missing("limits.max_retry_after_ns"));
         }
         let balancer = Settings {
-            me: self.me.0,
-            siblings: self.siblings.0,
+            balancer_index: self.me.0,
+            balancer_count: self.siblings.0,
             zone: ZoneId(self.my_zone.0),
             from_clients: or(self.tier, 0) == 0,
             classes,
