--- a/crates/decide/src/interface/settings.rs
+++ b/crates/decide/src/interface/settings.rs
@@ -27,8 +27,8 @@
     pub reporting: Reporting,
     /// What the environment allows.
     pub limits: Limits,
-    /// Requirements on the load of endpoints that have just started.
-    pub obligations: Obligations,
+    /// Slow start: the load that endpoints can bear while they are cold.
+    pub slow_start: SlowStart,
     /// Price of one attempt that crosses zones, relative to the worth of a request without client
     /// retries; 0 for none.
     pub cross_zone_price: f64,
@@ -128,14 +128,14 @@
 
 /// How an endpoint warms up after its start, and what load makes it fall over while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Obligations {
+pub struct SlowStart {
     /// Least share of its full capacity that an endpoint has when it starts.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// Time after which an endpoint is warm.
     pub warm_after: Duration,
     /// A cold endpoint falls over when it is sent more than this multiple of its present capacity
-    /// ...
-    pub fall_multiple: f64,
-    /// ... over this time.
-    pub fall_after: Duration,
+    /// over `overload_window`.
+    pub overload_multiple: f64,
+    /// The time over which that load is counted.
+    pub overload_window: Duration,
 }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -45,11 +45,11 @@
 //!         may_probe: false,
 //!         max_retry_after: None,
 //!     },
-//!     obligations: Obligations {
-//!         cold_from: 0.3,
+//!     slow_start: SlowStart {
+//!         initial_capacity: 0.3,
 //!         warm_after: ms(10_000),
-//!         fall_multiple: 3.0,
-//!         fall_after: ms(2000),
+//!         overload_multiple: 3.0,
+//!         overload_window: ms(2000),
 //!     },
 //!     cross_zone_price: 0.0,
 //! };
--- a/crates/decide/src/policy/targets.rs
+++ b/crates/decide/src/policy/targets.rs
@@ -145,10 +145,10 @@
     /// An endpoint's present capacity as a share of its full one, assuming the slowest warming
     /// allowed.
     pub(super) fn warmth(&self, e: &TrackedEndpoint) -> f64 {
-        let obligations = &self.settings.obligations;
+        let slow_start = &self.settings.slow_start;
         let age = e.info.started.map_or(f64::INFINITY, |at| self.now.since(at).as_secs_f64());
-        let share = (age / obligations.warm_after.as_secs_f64()).min(1.0);
-        1.0 - (1.0 - obligations.cold_from.clamp(0.0, 1.0)) * (1.0 - share)
+        let share = (age / slow_start.warm_after.as_secs_f64()).min(1.0);
+        1.0 - (1.0 - slow_start.initial_capacity.clamp(0.0, 1.0)) * (1.0 - share)
     }
 
     /// Ejects an endpoint after a failure that speaks against it, for as long as the failure took
@@ -310,16 +310,18 @@
     }
 
     /// Brings the credit of cold endpoints up to date: this balancer's share of a part of what all
-    /// may send to one, in requests of mean work. Credit not used within the window of the
-    /// obligations expires, so that nobody saves it up for a moment when all send. Without reports
-    /// of the machine type, the share is this balancer's mean rate to one endpoint of its subset.
+    /// may send to one, in requests of mean work. Credit not used within `overload_window` expires,
+    /// so that nobody saves it up for a moment when all send. Without reports of the machine type,
+    /// the share is this balancer's mean rate to one endpoint of its subset.
     pub(super) fn refill_cold_credit(&mut self) {
         for i in 0..self.endpoints.len() {
-            let (e, obligations) = (&self.endpoints[i], &self.settings.obligations);
+            let (e, slow_start) = (&self.endpoints[i], &self.settings.slow_start);
             let warmth = self.warmth(e);
             if warmth < 1.0 {
-                let (window, planned_multiple) =
-                    (obligations.fall_after.as_secs_f64(), obligations.fall_multiple * COLD_BUDGET_SHARE);
+                let (window, planned_multiple) = (
+                    slow_start.overload_window.as_secs_f64(),
+                    slow_start.overload_multiple * COLD_BUDGET_SHARE,
+                );
                 let rate = match self.machine_type_weight(e.info.kind) {
                     Some(_) => self.effective_weight(e, warmth) / e.balancers * planned_multiple,
                     // One request per window of all balancers together is allowed even where no
--- a/crates/decide/src/policy/tests.rs
+++ b/crates/decide/src/policy/tests.rs
@@ -30,11 +30,11 @@
             may_probe: false,
             max_retry_after: None,
         },
-        obligations: Obligations {
-            cold_from: 0.3,
+        slow_start: SlowStart {
+            initial_capacity: 0.3,
             warm_after: MS(1000),
-            fall_multiple: 3.0,
-            fall_after: MS(1000),
+            overload_multiple: 3.0,
+            overload_window: MS(1000),
         },
         cross_zone_price: 0.0,
     };
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -49,11 +49,11 @@
             may_probe: true,
             max_retry_after: Some(ms(2000)),
         },
-        obligations: Obligations {
-            cold_from: 0.25,
+        slow_start: SlowStart {
+            initial_capacity: 0.25,
             warm_after: ms(10_000),
-            fall_multiple: 3.0,
-            fall_after: ms(2000),
+            overload_multiple: 3.0,
+            overload_window: ms(2000),
         },
         cross_zone_price: 0.0,
     }
--- a/crates/decide/tests/random.rs
+++ b/crates/decide/tests/random.rs
@@ -53,7 +53,7 @@
         if rng.bool() {
             s.discovery = Discovery::OnRequest { ask_within: ms(rng.u64(1..10_000)) };
         }
-        s.obligations.warm_after = ms(rng.u64(0..10_000));
+        s.slow_start.warm_after = ms(rng.u64(0..10_000));
         let now = Time(if rng.bool() { 0 } else { u64::MAX / 4 });
         Simulation {
             balancer: Balancer::new(s.clone(), rng.u64(..), now),
--- a/crates/lab/src/policies/broken.rs
+++ b/crates/lab/src/policies/broken.rs
@@ -121,6 +121,6 @@
 /// Ours without its budget for cold targets: the multiple that pushes one over is stated as past all reach.
 pub fn without_cold_budget(settings: Settings, seed: u64, now: Time) -> Box<dyn Decider> {
     let mut settings = settings;
-    settings.obligations.fall_multiple = 1e9;
+    settings.slow_start.overload_multiple = 1e9;
     Policy::Ours.make(settings, seed, now)
 }
--- a/crates/lab/src/world/fleet.rs
+++ b/crates/lab/src/world/fleet.rs
@@ -139,11 +139,11 @@
             may_probe: false,
             max_retry_after: Some(s.clients.max_retry_after.duration()),
         },
-        obligations: decide::Obligations {
-            cold_from,
+        slow_start: decide::SlowStart {
+            initial_capacity: cold_from,
             warm_after: warm_after.duration(),
-            fall_multiple: s.rules.fall_multiple,
-            fall_after: s.rules.fall_after.duration(),
+            overload_multiple: s.rules.fall_multiple,
+            overload_window: s.rules.fall_after.duration(),
         },
         cross_zone_price: 0.0,
     }
--- a/crates/settings/src/written.rs
+++ b/crates/settings/src/written.rs
@@ -266,11 +266,11 @@
                 may_probe: limits.probes.0,
                 max_retry_after: max_retry_after.filter(|_| tells),
             },
-            obligations: decide::Obligations {
-                cold_from: self.obligations.cold_from.0,
+            slow_start: decide::SlowStart {
+                initial_capacity: self.obligations.cold_from.0,
                 warm_after: nanos(self.obligations.warm_after_ns),
-                fall_multiple: self.obligations.fall_multiple.0,
-                fall_after: nanos(self.obligations.tip_after_ns),
+                overload_multiple: self.obligations.fall_multiple.0,
+                overload_window: nanos(self.obligations.tip_after_ns),
             },
             cross_zone_price: self.penalties.and_then(|p| p.cross_zone).unwrap_or_default().0,
         };
