--- a/crates/core/src/admit.rs
+++ b/crates/core/src/admit.rs
@@ -34,7 +34,7 @@
         let entry = Entry { tuning, steps: sender, attempts: Vec::new(), closed: false };
         core.flows.insert(id, entry);
         drop(core);
-        let call = Call { id, class: new.class, tenant: new.tenant, due: new.due, cost: None };
+        let call = Request { id, class: new.class, tenant: new.tenant, deadline: new.due, cost: None };
         self.counts.admit();
         self.feed(Event::Arrived(call));
         Flow { sidecar: self.clone(), id, steps }
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -60,7 +60,7 @@
     /// How an attempt that it ends is booked: none of them ran, and what this process did not let begin says nothing of the
     /// endpoint.
     pub fn outcome(self) -> Outcome {
-        Outcome::Moot
+        Outcome::NotSent
     }
 }
 
--- a/crates/core/src/guard/tests.rs
+++ b/crates/core/src/guard/tests.rs
@@ -66,6 +66,6 @@
 #[test]
 fn no_denial_is_evidence_about_an_endpoint() {
     for denial in Denial::ALL {
-        assert_eq!(denial.outcome(), Outcome::Moot, "{denial:?}");
+        assert_eq!(denial.outcome(), Outcome::NotSent, "{denial:?}");
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -176,7 +176,7 @@
             match &event {
                 Event::Endpoints { .. } | Event::DiscoveryFailed => None,
                 Event::Arrived(call) => core.flows.get(&call.id).map(|e| e.tuning),
-                Event::Finished { id, .. } | Event::StreamStarted { id } | Event::Departed { id } => {
+                Event::Finished { id, .. } | Event::StreamStarted { id } | Event::ClientGone { id } => {
                     Some(core.flows.get(id).map_or_else(|| core.newest(), |e| e.tuning))
                 }
                 Event::Timer { .. } | Event::ProbeFinished { .. } => Some(core.newest()),
@@ -230,7 +230,7 @@
 
     fn carry_out(self: &Rc<Self>, core: &mut Core, tuning: u32, action: Action) -> Option<Event<'static>> {
         match action {
-            Action::Send { id, endpoint, until } => {
+            Action::Send { id, endpoint, attempt_deadline: until } => {
                 return route::attempt(self, core, id, endpoint, until);
             }
             Action::Refuse { id, retry_after } => {
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -51,7 +51,7 @@
             let _ = entry.steps.try_send(Step::Over);
             drop(core);
             self.sidecar.counts.depart();
-            self.sidecar.feed(Event::Departed { id: self.id });
+            self.sidecar.feed(Event::ClientGone { id: self.id });
         }
     }
 }
@@ -67,7 +67,7 @@
     let (halt, halted) = async_channel::unbounded();
     let target = core.group.find(endpoint);
     let Some(entry) = core.flows.get_mut(&id) else {
-        let (outcome, elapsed) = (Outcome::Moot, Duration::ZERO);
+        let (outcome, elapsed) = (Outcome::NotSent, Duration::ZERO);
         let (attempt, report) = (0, None);
         return Some(Event::Finished { id, attempt, endpoint, outcome, closed: true, elapsed, report });
     };
--- a/crates/core/src/targets.rs
+++ b/crates/core/src/targets.rs
@@ -38,7 +38,7 @@
     /// Its cell.
     pub cell: CellId,
     /// Its machine kind.
-    pub kind: KindId,
+    pub kind: MachineTypeId,
     /// Its lifecycle.
     pub lifecycle: Lifecycle,
     /// When its process last started, as Unix time in milliseconds by the platform's clock; 0: long ago.
@@ -146,10 +146,10 @@
             Lifecycle::Active if self.suspended => EndpointState::Draining,
             Lifecycle::Active => EndpointState::Ready,
             Lifecycle::Leaving => EndpointState::Draining,
-            Lifecycle::Left => EndpointState::Gone,
+            Lifecycle::Left => EndpointState::Removed,
         };
         let (id, zone, cell, kind) = (e.id, e.zone, e.cell, e.kind);
-        Endpoint { id, zone, cell, kind, state, started: member.started }
+        Endpoint { id, zone, cell, machine_type: kind, state, started: member.started }
     }
 
     /// Whether the list may not be used.
--- a/crates/decide/src/interface/events.rs
+++ b/crates/decide/src/interface/events.rs
@@ -1,6 +1,6 @@
 //! What happens to a balancer, and what it asks its embedder to do.
 
-use super::{Call, Endpoint, EndpointId, ListKind, LoadReport, Outcome, RequestId, Time, TimerToken};
+use super::{Endpoint, EndpointId, ListKind, LoadReport, Outcome, Request, RequestId, Time, TimerToken};
 use std::time::Duration;
 
 /// Something that happened, as reported to a balancer.
@@ -17,7 +17,7 @@
     /// valid.
     DiscoveryFailed,
     /// A request arrived.
-    Arrived(Call),
+    Arrived(Request),
     /// A streamed answer has begun to reach the client: from now on the balancer neither repeats nor
     /// answers the request.
     StreamStarted {
@@ -51,7 +51,7 @@
         report: Option<LoadReport>,
     },
     /// The client of a request is gone; no answer is owed for it any more.
-    Departed {
+    ClientGone {
         /// The request.
         id: RequestId,
     },
@@ -72,8 +72,8 @@
         /// The endpoint to send it to.
         endpoint: EndpointId,
         /// When to abandon the attempt (as [`Outcome::TimedOut`]); never later than the request's
-        /// `due`.
-        until: Time,
+        /// `deadline`.
+        attempt_deadline: Time,
     },
     /// Final answer: refused. The request had no effect, or repeating it is harmless, so that a
     /// client retry is safe.
--- a/crates/decide/src/interface/mod.rs
+++ b/crates/decide/src/interface/mod.rs
@@ -3,14 +3,14 @@
 //! Plain data without behaviour. Times are points on the embedder's monotonic clock, in nanoseconds
 //! from an arbitrary origin; durations are [`std::time::Duration`].
 
-mod calls;
 mod events;
 mod names;
+mod requests;
 mod settings;
 mod targets;
 
-pub use calls::*;
 pub use events::*;
 pub use names::*;
+pub use requests::*;
 pub use settings::*;
 pub use targets::*;
--- a/crates/decide/src/interface/names.rs
+++ b/crates/decide/src/interface/names.rs
@@ -55,6 +55,6 @@
 id!(/// A cell: a small set of endpoints in one zone that share the idempotency keys they have seen.
     CellId(u16));
 id!(/// A machine type, used only to combine the load reports of similar endpoints.
-    KindId(u16));
+    MachineTypeId(u16));
 id!(/// Returned when a timer fires.
     TimerToken(u64));
--- a/crates/decide/src/interface/calls.rs
+++ b/crates/decide/src/interface/requests.rs
@@ -3,9 +3,9 @@
 use super::{ClassId, RequestId, TenantId, Time};
 use std::time::Duration;
 
-/// A request from a client to this balancer, which owes it exactly one final answer before `due`.
+/// A request from a client to this balancer, which owes it exactly one final answer before `deadline`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Call {
+pub struct Request {
     /// Identifies the request.
     pub id: RequestId,
     /// The class of the request.
@@ -14,7 +14,7 @@
     pub tenant: Option<TenantId>,
     /// When the client stops waiting for an answer to this request. A client retry is another
     /// request.
-    pub due: Time,
+    pub deadline: Time,
     /// Expected work of the request, if the client gave a hint.
     pub cost: Option<Duration>,
 }
@@ -27,7 +27,7 @@
     /// The endpoint answered with an error; the attempt may have run.
     Error,
     /// The endpoint refused the attempt without processing it; it never ran.
-    Full,
+    Rejected,
     /// No answer in the time allowed; the attempt may have run or be running.
     TimedOut,
     /// No connection; the attempt never ran.
@@ -37,7 +37,7 @@
     /// Withdrawn by [`Action::Cancel`](super::Action::Cancel); the attempt may have run.
     Cancelled,
     /// The embedder did not send the attempt; it never ran.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
@@ -46,16 +46,16 @@
     pub const ALL: [Outcome; 8] = [
         Outcome::Ok,
         Outcome::Error,
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::TimedOut,
         Outcome::ConnectFailed,
         Outcome::Reset,
         Outcome::Cancelled,
-        Outcome::Moot,
+        Outcome::NotSent,
     ];
 
     /// Whether this outcome proves that the attempt had no effect.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
--- a/crates/decide/src/interface/targets.rs
+++ b/crates/decide/src/interface/targets.rs
@@ -1,6 +1,6 @@
 //! Endpoints as discovery lists them, and the load that they report.
 
-use super::{CellId, EndpointId, KindId, Time, ZoneId};
+use super::{CellId, EndpointId, MachineTypeId, Time, ZoneId};
 
 /// One endpoint as discovery lists it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -12,7 +12,7 @@
     /// The cell that it belongs to.
     pub cell: CellId,
     /// Its machine type.
-    pub kind: KindId,
+    pub machine_type: MachineTypeId,
     /// Whether it takes requests.
     pub state: EndpointState,
     /// When its process last started; `None` if long ago.
@@ -27,7 +27,7 @@
     /// Finishes the requests that it has; takes no new ones.
     Draining,
     /// Removed from the list.
-    Gone,
+    Removed,
 }
 
 /// How a list from discovery relates to the list already held.
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -8,12 +8,12 @@
 //!
 //! The embedder guarantees:
 //! - time that never goes back, and timers delivered soon after they are due;
-//! - exactly one [`Event::Finished`] for every [`Action::Send`], at the latest when its `until`
+//! - exactly one [`Event::Finished`] for every [`Action::Send`], at the latest when its `attempt_deadline`
 //!   has passed;
 //! - the first [`Outcome::Ok`] of a request passed on to the client, with `closed` set in that
 //!   event.
 //!
-//! The balancer guarantees exactly one final answer for each request before its `due` (an answer
+//! The balancer guarantees exactly one final answer for each request before its `deadline` (an answer
 //! passed on, [`Action::Refuse`] or [`Action::Fail`]), unless the client is gone first.
 //!
 //! ```
@@ -62,7 +62,7 @@
 //!     id: EndpointId(7),
 //!     zone: ZoneId(0),
 //!     cell: CellId(0),
-//!     kind: KindId(0),
+//!     machine_type: MachineTypeId(0),
 //!     state: EndpointState::Ready,
 //!     started: None,
 //! }];
@@ -70,9 +70,9 @@
 //!
 //! // A request arrives and is sent there.
 //! let (id, now) = (RequestId(1), start + ms(10));
-//! let request = Call { id, class: ClassId(0), tenant: None, due: now + ms(2000), cost: None };
+//! let request = Request { id, class: ClassId(0), tenant: None, deadline: now + ms(2000), cost: None };
 //! balancer.handle(now, Event::Arrived(request), &mut actions);
-//! let send = Action::Send { id, endpoint: EndpointId(7), until: now + ms(500) };
+//! let send = Action::Send { id, endpoint: EndpointId(7), attempt_deadline: now + ms(500) };
 //! assert_eq!(actions, [send]);
 //! actions.clear();
 //!
@@ -82,7 +82,7 @@
 //!     id,
 //!     attempt: 0,
 //!     endpoint: EndpointId(7),
-//!     outcome: Outcome::Full,
+//!     outcome: Outcome::Rejected,
 //!     closed: false,
 //!     elapsed: ms(1),
 //!     report: None,
--- a/crates/decide/src/policy/attempts.rs
+++ b/crates/decide/src/policy/attempts.rs
@@ -30,7 +30,7 @@
 
 /// A request that has no final answer yet.
 pub(super) struct TrackedRequest {
-    pub(super) call: Call,
+    pub(super) request: Request,
     /// Index of its queue.
     pub(super) queue: usize,
     /// An answer after this time is worth nothing.
@@ -53,7 +53,7 @@
         let Some(mut r) = self.requests.remove(&id) else { return false };
         self.refill_cold_credit();
         let (own_time, known_times) =
-            (self.class_service_time_s[usize::from(r.call.class.0)], self.class_service_time_s.iter());
+            (self.class_service_time_s[usize::from(r.request.class.0)], self.class_service_time_s.iter());
         let (sum, count) =
             known_times.filter(|&&t| t > 0.0).fold((0.0, 0.0), |(total, n), t| (total + t.ln(), n + 1.0));
         let relative_work = if own_time > 0.0 { own_time / f64::exp(sum / count) } else { 1.0 };
@@ -80,7 +80,7 @@
                 in_flight: true,
             });
             self.recent_sends.add(self.now, 1.0);
-            actions.push(Action::Send { id, endpoint, until: r.worth_until });
+            actions.push(Action::Send { id, endpoint, attempt_deadline: r.worth_until });
         }
         self.requests.insert(id, r);
         picked.is_some()
@@ -102,7 +102,7 @@
             was_failing = e.consecutive_failures > 0;
             match outcome {
                 Outcome::Ok => e.consecutive_failures = 0,
-                Outcome::Error | Outcome::Cancelled | Outcome::Moot => {}
+                Outcome::Error | Outcome::Cancelled | Outcome::NotSent => {}
                 _ => self.eject(endpoint, elapsed),
             }
         }
@@ -117,11 +117,11 @@
             if outcome == Outcome::Ok && outstanding_at_send > peak {
                 *served_concurrency = DecayingSum { value: outstanding_at_send, updated_at: self.now };
             }
-            unrelated_to_load = outcome == Outcome::Full
+            unrelated_to_load = outcome == Outcome::Rejected
                 && peak >= SERVED_CONCURRENCY_MIN
                 && outstanding_at_send < peak * LOW_CONCURRENCY_SHARE;
         }
-        let class = usize::from(r.call.class.0);
+        let class = usize::from(r.request.class.0);
         if !outcome.never_ran() && r.may_have_run.is_none_or(|(first, ..)| sent_at < first) {
             let (zone, cell) = location.unwrap_or((ZoneId(u16::MAX), CellId(u16::MAX)));
             r.may_have_run = Some((sent_at, zone, cell));
@@ -136,7 +136,7 @@
         // far fewer requests than it carries: two of four endpoints that refused a quarter of their
         // requests, whatever their load, lowered the limit to its minimum.
         let counts_for_limit =
-            !was_failing && !unrelated_to_load && !matches!(outcome, Outcome::Cancelled | Outcome::Moot);
+            !was_failing && !unrelated_to_load && !matches!(outcome, Outcome::Cancelled | Outcome::NotSent);
         if outcome == Outcome::Ok || counts_for_limit {
             // An answer later than the whole latency target counts as a time-out.
             let late = outcome == Outcome::Ok && elapsed > self.settings.classes[class].latency_target;
@@ -150,7 +150,7 @@
 
     /// Whether a request may reach an endpoint at that time, given its earlier attempts.
     fn may_run(&self, r: &TrackedRequest, at: Time) -> bool {
-        match (self.settings.classes[usize::from(r.call.class.0)].effect, r.may_have_run) {
+        match (self.settings.classes[usize::from(r.request.class.0)].effect, r.may_have_run) {
             (_, None) | (Effect::Safe, _) => true,
             (Effect::Keyed { window, .. }, Some((first, ..))) => at < first + window,
             (Effect::Unsafe, Some(_)) => false,
@@ -170,7 +170,7 @@
         if r.streaming || r.attempts.iter().any(|a| a.in_flight) {
             return;
         }
-        let effect = self.settings.classes[usize::from(r.call.class.0)].effect;
+        let effect = self.settings.classes[usize::from(r.request.class.0)].effect;
         let safe_to_repeat = matches!(effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. });
         let (may_repeat, may_refuse) =
             (self.may_run(r, self.now), safe_to_repeat || r.may_have_run.is_none());
--- a/crates/decide/src/policy/levels.rs
+++ b/crates/decide/src/policy/levels.rs
@@ -88,10 +88,10 @@
 impl Balancer {
     /// The priority level for a request's class and its tenant's quota: one lower for each halving
     /// of its worth.
-    pub(super) fn priority_level(&mut self, call: &Call) -> usize {
-        let class = &self.settings.classes[usize::from(call.class.0)];
+    pub(super) fn priority_level(&mut self, request: &Request) -> usize {
+        let class = &self.settings.classes[usize::from(request.class.0)];
         let mut worth = class.worth;
-        if let Some(t) = call.tenant
+        if let Some(t) = request.tenant
             && self.charge_quota(usize::from(t.0))
         {
             worth *= self.settings.over_quota_worth;
@@ -133,40 +133,44 @@
 
     /// Queues an arriving request, and starts it if the limit allows; refuses it if its queue is
     /// full or its answer would be worthless.
-    pub(super) fn on_arrival(&mut self, call: Call, actions: &mut Vec<Action>) {
-        let Some(class) = self.settings.classes.get(usize::from(call.class.0)).cloned() else {
-            return actions.push(Action::Refuse { id: call.id, retry_after: None });
+    pub(super) fn on_arrival(&mut self, request: Request, actions: &mut Vec<Action>) {
+        let Some(class) = self.settings.classes.get(usize::from(request.class.0)).cloned() else {
+            return actions.push(Action::Refuse { id: request.id, retry_after: None });
         };
-        if self.requests.contains_key(&call.id) {
+        if self.requests.contains_key(&request.id) {
             return;
         }
         self.retry_budget = (self.retry_budget + RETRY_BUDGET_PER_REQUEST).min(RETRY_BUDGET_MAX);
-        let stretch = call.cost.map_or(0.0, |c| c.as_secs_f64() * class.latency_target_stretch.max(0.0));
+        let stretch = request.cost.map_or(0.0, |c| c.as_secs_f64() * class.latency_target_stretch.max(0.0));
         let latency_target =
             class.latency_target + Duration::try_from_secs_f64(stretch).unwrap_or_default();
-        let remaining = call.due.since(self.now);
+        let remaining = request.deadline.since(self.now);
         let client_started = if self.settings.from_clients
-            && !self.is_first_request(&call, remaining, class.client_timeout)
+            && !self.is_first_request(&request, remaining, class.client_timeout)
         {
-            call.due - class.client_timeout
+            request.deadline - class.client_timeout
         } else {
             self.now
         };
-        let worth_until =
-            if class.late_worth > 0.0 { call.due } else { (client_started + latency_target).min(call.due) };
-        let usual_service = Duration::from_secs_f64(self.class_service_time_s[usize::from(call.class.0)]);
+        let worth_until = if class.late_worth > 0.0 {
+            request.deadline
+        } else {
+            (client_started + latency_target).min(request.deadline)
+        };
+        let usual_service =
+            Duration::from_secs_f64(self.class_service_time_s[usize::from(request.class.0)]);
         let queue_deadline =
             (self.now + class.latency_target.mul_f64(WAIT_SHARE)).min(worth_until - usual_service);
-        let level = self.priority_level(&call);
+        let level = self.priority_level(&request);
         let width = width_of(class.effect);
-        let flow = call.tenant.map_or(u64::MAX, |t| u64::from(t.0));
+        let flow = request.tenant.map_or(u64::MAX, |t| u64::from(t.0));
         let hash = mix(mix(flow) ^ (level * 2 + width) as u64);
         let first_queue = (level * 2 + width - 1) * QUEUES_PER_WIDTH;
         let hand = deal_hand(hash).map(|i| first_queue + i);
         let queue = hand.into_iter().min_by_key(|&q| self.queues[q].waiting.len()).unwrap_or(first_queue);
         if self.queues[queue].waiting.len() >= QUEUE_CAPACITY || worth_until <= self.now {
             return actions
-                .push(Action::Refuse { id: call.id, retry_after: self.retry_after(worth_until) });
+                .push(Action::Refuse { id: request.id, retry_after: self.retry_after(worth_until) });
         }
         let q = &mut self.queues[queue];
         if q.waiting.is_empty() && q.running == 0 {
@@ -174,12 +178,12 @@
             self.scheduler.active_queues += width as f64;
         }
         self.scheduler.demand += width as f64;
-        q.waiting.push_back(call.id);
+        q.waiting.push_back(request.id);
         self.scheduler.waiting_by_level[level] += 1;
         self.requests.insert(
-            call.id,
+            request.id,
             TrackedRequest {
-                call,
+                request,
                 queue,
                 worth_until,
                 seat: None,
@@ -189,8 +193,8 @@
             },
         );
         self.dispatch_waiting(actions);
-        if self.requests.get(&call.id).is_some_and(|r| r.seat.is_none()) {
-            self.schedule(queue_deadline, TimerKind::QueueTimeout(call.id));
+        if self.requests.get(&request.id).is_some_and(|r| r.seat.is_none()) {
+            self.schedule(queue_deadline, TimerKind::QueueTimeout(request.id));
         }
     }
 
@@ -198,8 +202,13 @@
     /// the usual one is found by majority vote over the class's requests. A client retry has what
     /// is left of the client timeout instead, which tells when the client began: an answer that
     /// comes later than the latency target counted from there is worthless.
-    fn is_first_request(&mut self, call: &Call, remaining: Duration, client_timeout: Duration) -> bool {
-        let (usual_timeout, votes) = &mut self.usual_timeouts[usize::from(call.class.0)];
+    fn is_first_request(
+        &mut self,
+        request: &Request,
+        remaining: Duration,
+        client_timeout: Duration,
+    ) -> bool {
+        let (usual_timeout, votes) = &mut self.usual_timeouts[usize::from(request.class.0)];
         if *votes == 0 {
             *usual_timeout = remaining;
         }
--- a/crates/decide/src/policy/limit.rs
+++ b/crates/decide/src/policy/limit.rs
@@ -25,10 +25,10 @@
         self.concurrency_limit
     }
 
-    /// Updates the limit from one outcome: only `Full` and time-outs count as not accepted.
+    /// Updates the limit from one outcome: only `Rejected` and time-outs count as not accepted.
     pub(super) fn update_limit(&mut self, outcome: Outcome, sent_at: Time) {
         let (not_accepted, seats_in_use) =
-            (matches!(outcome, Outcome::Full | Outcome::TimedOut), self.scheduler.seats_in_use);
+            (matches!(outcome, Outcome::Rejected | Outcome::TimedOut), self.scheduler.seats_in_use);
         self.overload_share += (f64::from(u8::from(not_accepted)) - self.overload_share) * OUTCOME_GAIN;
         if not_accepted {
             // One decrease for all requests that were running together, and none for a single
--- a/crates/decide/src/policy/mod.rs
+++ b/crates/decide/src/policy/mod.rs
@@ -69,7 +69,7 @@
     /// Indices of its subset in other zones; empty if crossing has no price.
     remote_subset: Vec<usize>,
     /// For each machine type, the decaying sums of reported rates and utilizations.
-    machine_type_sums: HashMap<KindId, (f64, f64)>,
+    machine_type_sums: HashMap<MachineTypeId, (f64, f64)>,
     /// Mean weight of the endpoints of the local subset that have reported.
     mean_weight: f64,
     /// Recent attempts to all endpoints.
@@ -148,7 +148,7 @@
         match event {
             Event::Endpoints { kind, entries } => self.on_endpoint_list(kind, entries),
             Event::DiscoveryFailed => self.on_discovery_failed(),
-            Event::Arrived(call) => self.on_arrival(call, actions),
+            Event::Arrived(request) => self.on_arrival(request, actions),
             Event::StreamStarted { id } => {
                 if let Some(r) = self.requests.get_mut(&id) {
                     r.streaming = true;
@@ -161,7 +161,7 @@
                     self.eject(endpoint, EJECTION_MIN);
                 }
             }
-            Event::Departed { id } => self.close_request(id, actions),
+            Event::ClientGone { id } => self.close_request(id, actions),
             Event::Timer { token } => {
                 // Compared by token, not by time: a timer that fires slightly early must be set
                 // again.
--- a/crates/decide/src/policy/targets.rs
+++ b/crates/decide/src/policy/targets.rs
@@ -108,12 +108,13 @@
         // What a cold endpoint carries now tells nothing about what its machine type carries once
         // warm.
         if warmth >= 1.0 {
-            let (rates, utilizations) = self.machine_type_sums.entry(e.info.kind).or_default();
+            let (rates, utilizations) = self.machine_type_sums.entry(e.info.machine_type).or_default();
             (*rates, *utilizations) =
                 (*rates * MACHINE_TYPE_DECAY + rate, *utilizations * MACHINE_TYPE_DECAY + utilization);
         }
         let prior_weight =
-            self.machine_type_weight(self.endpoints[i].info.kind).unwrap_or(self.mean_weight) * warmth;
+            self.machine_type_weight(self.endpoints[i].info.machine_type).unwrap_or(self.mean_weight)
+                * warmth;
         let e = &mut self.endpoints[i];
         e.reported_weight = (e.rate_sum.value + prior_weight * PRIOR_UTILIZATION)
             / (e.utilization_sum.value + PRIOR_UTILIZATION);
@@ -126,8 +127,8 @@
     }
 
     /// The weight of an endpoint by the reports of its machine type, if there are any.
-    fn machine_type_weight(&self, kind: KindId) -> Option<f64> {
-        self.machine_type_sums.get(&kind).map(|(rates, utilizations)| rates / utilizations)
+    fn machine_type_weight(&self, machine_type: MachineTypeId) -> Option<f64> {
+        self.machine_type_sums.get(&machine_type).map(|(rates, utilizations)| rates / utilizations)
     }
 
     /// What an endpoint carries at present: by its own reports or, if it has none or is cold, by
@@ -135,7 +136,7 @@
     fn effective_weight(&self, e: &TrackedEndpoint, warmth: f64) -> f64 {
         match e.reported_weight {
             own if warmth < 1.0 => {
-                own.max(self.machine_type_weight(e.info.kind).unwrap_or(self.mean_weight) * warmth)
+                own.max(self.machine_type_weight(e.info.machine_type).unwrap_or(self.mean_weight) * warmth)
             }
             own if own > 0.0 => own.max(self.mean_weight * WEIGHT_MIN_SHARE),
             _ => self.mean_weight,
@@ -212,7 +213,7 @@
     /// endpoints are busy.
     pub(super) fn pick_endpoint(&self, r: &TrackedRequest) -> Option<usize> {
         let required_group =
-            match (self.settings.classes[usize::from(r.call.class.0)].effect, r.may_have_run) {
+            match (self.settings.classes[usize::from(r.request.class.0)].effect, r.may_have_run) {
                 (Effect::Keyed { scope: Scope::Zone, .. }, Some((_, zone, _))) => Some((zone, None)),
                 (Effect::Keyed { scope: Scope::Cell, .. }, Some((_, zone, cell))) => {
                     Some((zone, Some(cell)))
@@ -289,7 +290,7 @@
     /// Requests of this balancer that an endpoint serves at once: this balancer's share of the
     /// endpoint's work in a share of the shortest latency target.
     fn capacity_share(&self, e: &TrackedEndpoint, warmth: f64) -> Option<f64> {
-        self.machine_type_weight(e.info.kind)
+        self.machine_type_weight(e.info.machine_type)
             .map(|_| self.effective_weight(e, warmth) * self.shortest_target_s * TARGET_SHARE / e.balancers)
     }
 
@@ -322,7 +323,7 @@
                     slow_start.overload_window.as_secs_f64(),
                     slow_start.overload_multiple * COLD_BUDGET_SHARE,
                 );
-                let rate = match self.machine_type_weight(e.info.kind) {
+                let rate = match self.machine_type_weight(e.info.machine_type) {
                     Some(_) => self.effective_weight(e, warmth) / e.balancers * planned_multiple,
                     // One request per window of all balancers together is allowed even where no
                     // endpoint of this type has been used yet.
@@ -341,7 +342,7 @@
         (self.subscription_pending, self.discovery_failures) = (false, 0);
         if kind == ListKind::Full {
             for e in &mut self.endpoints {
-                e.info.state = EndpointState::Gone;
+                e.info.state = EndpointState::Removed;
             }
         }
         for entry in entries {
@@ -375,7 +376,7 @@
             }
         }
         // Drops endpoints that are gone and owe no outcome.
-        self.endpoints.retain(|e| e.info.state != EndpointState::Gone || e.outstanding > 0);
+        self.endpoints.retain(|e| e.info.state != EndpointState::Removed || e.outstanding > 0);
         self.index_by_id = self.endpoints.iter().enumerate().map(|(i, e)| (e.info.id, i)).collect();
         let is_ready = |&i: &usize| self.endpoints[i].info.state == EndpointState::Ready;
         self.ready = (0..self.endpoints.len()).filter(is_ready).collect();
--- a/crates/decide/src/policy/tests.rs
+++ b/crates/decide/src/policy/tests.rs
@@ -44,7 +44,7 @@
             id: EndpointId(id),
             zone: ZoneId(0),
             cell: CellId(0),
-            kind: KindId(0),
+            machine_type: MachineTypeId(0),
             state: EndpointState::Ready,
             started: None,
         })
@@ -56,9 +56,9 @@
 
 fn arrive(b: &mut Balancer, at_ms: u64, id: u64, class: u16, tenant: u16) -> usize {
     let now = Time(0) + MS(at_ms);
-    let (tenant, due) = (Some(TenantId(tenant)), now + MS(4000));
-    let call = Call { id: RequestId(id), class: ClassId(class), tenant, due, cost: None };
-    b.handle(now, Event::Arrived(call), &mut Vec::new());
+    let (tenant, deadline) = (Some(TenantId(tenant)), now + MS(4000));
+    let request = Request { id: RequestId(id), class: ClassId(class), tenant, deadline, cost: None };
+    b.handle(now, Event::Arrived(request), &mut Vec::new());
     b.requests[&RequestId(id)].queue
 }
 
@@ -149,7 +149,7 @@
     // Finish = start + 1 * G: the second request arrived later but is ahead in virtual time.
     (b.queues[a].virtual_start, b.queues[c].virtual_start) = (0.5, 0.4);
     b.concurrency_limit = 1.0;
-    b.handle(Time(10_000_000), Event::Departed { id: RequestId(1) }, &mut Vec::new());
+    b.handle(Time(10_000_000), Event::ClientGone { id: RequestId(1) }, &mut Vec::new());
     assert!(b.requests[&RequestId(2)].seat.is_none());
     assert!(b.requests[&RequestId(3)].seat.is_some());
 }
@@ -164,14 +164,14 @@
     // 2 * 64 / 227.5 and 2 * 32 / 227.5 both round up to 1: level 1 runs its one, level 2 runs
     // none.
     b.concurrency_limit = 2.0;
-    b.handle(Time(1), Event::Departed { id: RequestId(99) }, &mut Vec::new());
+    b.handle(Time(1), Event::ClientGone { id: RequestId(99) }, &mut Vec::new());
     assert!(b.requests[&RequestId(2)].seat.is_none());
     assert!(b.requests[&RequestId(3)].seat.is_some());
     // With both levels at their assured concurrency, the seat left to borrow goes to the highest
     // waiting level.
     arrive(&mut b, 1, 4, 2, 2);
     b.concurrency_limit = 3.0;
-    b.handle(Time(1_000_000), Event::Departed { id: RequestId(99) }, &mut Vec::new());
+    b.handle(Time(1_000_000), Event::ClientGone { id: RequestId(99) }, &mut Vec::new());
     assert!(b.requests[&RequestId(2)].seat.is_some());
     assert!(b.requests[&RequestId(4)].seat.is_none());
 }
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -64,7 +64,7 @@
         id: EndpointId(id),
         zone: ZoneId(0),
         cell: CellId(0),
-        kind: KindId(0),
+        machine_type: MachineTypeId(0),
         state: EndpointState::Ready,
         started: None,
     }
@@ -122,7 +122,7 @@
     ) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next_id);
         self.next_id += 1;
-        let request = Call { id, class, tenant, due: self.now + left, cost: None };
+        let request = Request { id, class, tenant, deadline: self.now + left, cost: None };
         (id, self.handle(Event::Arrived(request)))
     }
 
--- a/crates/decide/tests/discovery.rs
+++ b/crates/decide/tests/discovery.rs
@@ -34,7 +34,8 @@
         let cached = Event::Endpoints { kind: ListKind::Full, entries: &list };
         delays.push(until_subscribed(&mut b, now, cached));
         let mut actions = Vec::new();
-        let request = Call { id: RequestId(1), class: SAFE, tenant: None, due: now + ms(9000), cost: None };
+        let request =
+            Request { id: RequestId(1), class: SAFE, tenant: None, deadline: now + ms(9000), cost: None };
         b.handle(now + ms(4000), Event::Arrived(request), &mut actions);
         assert!(first_send(&actions).is_some());
     }
@@ -64,7 +65,7 @@
     let list = [endpoint(1)];
     let cached = Event::Endpoints { kind: ListKind::Full, entries: &list };
     let at = now + until_subscribed(&mut b, now, cached);
-    let unrelated = Event::Departed { id: RequestId(9) };
+    let unrelated = Event::ClientGone { id: RequestId(9) };
     let mut actions = Vec::new();
     for after in 0..=100 {
         b.handle(at + ms(after * 100), unrelated, &mut actions);
--- a/crates/decide/tests/dispatch.rs
+++ b/crates/decide/tests/dispatch.rs
@@ -86,7 +86,7 @@
 
 #[test]
 fn failing_endpoint_is_ejected_and_tried_again() {
-    for outcome in [Outcome::ConnectFailed, Outcome::TimedOut, Outcome::Reset, Outcome::Full] {
+    for outcome in [Outcome::ConnectFailed, Outcome::TimedOut, Outcome::Reset, Outcome::Rejected] {
         let ten: Vec<_> = (1..=10).map(endpoint).collect();
         let mut d = Driver::with(settings(), &ten);
         let mut attempts = 0;
@@ -98,7 +98,7 @@
             attempts += usize::from(failing);
             d.finish(id, 0, at, if failing { outcome } else { Outcome::Ok });
             if failing && outcome.never_ran() {
-                d.handle(Event::Departed { id });
+                d.handle(Event::ClientGone { id });
             }
         }
         assert!(
@@ -134,7 +134,10 @@
         }
         if balancer_index == 0 {
             let removed = *counts.keys().next().unwrap();
-            d.update_list(ListKind::Delta, &[Endpoint { state: EndpointState::Gone, ..endpoint(removed) }]);
+            d.update_list(
+                ListKind::Delta,
+                &[Endpoint { state: EndpointState::Removed, ..endpoint(removed) }],
+            );
             let after = serve(&mut d, 200, |_| None);
             assert_eq!(
                 after.keys().filter(|k| !counts.contains_key(k)).count(),
--- a/crates/decide/tests/limit.rs
+++ b/crates/decide/tests/limit.rs
@@ -20,7 +20,7 @@
     }
     let measured = running.len();
     for (id, endpoint) in running {
-        d.handle(Event::Departed { id });
+        d.handle(Event::ClientGone { id });
         // Each send is owed its outcome, also one that was cancelled.
         let (outcome, elapsed) = (Outcome::Cancelled, ms(0));
         d.handle(Event::Finished {
@@ -172,7 +172,7 @@
         for (id, endpoint) in requests {
             let refuses = endpoint.0 <= 2 && round % 2 == 0;
             refused += u32::from(refuses);
-            let further = d.finish(id, 0, endpoint, if refuses { Outcome::Full } else { Outcome::Ok });
+            let further = d.finish(id, 0, endpoint, if refuses { Outcome::Rejected } else { Outcome::Ok });
             for (id, endpoint) in sends(&further) {
                 d.finish(id, 1, endpoint, Outcome::Ok);
             }
@@ -243,7 +243,7 @@
         // Twelve are outstanding at a time: a request takes 0.3 s.
         while outstanding.len() > 12 {
             let (request, attempt, at) = outstanding.pop_front().unwrap();
-            let outcome = if at.0 > 2 && rng.f64() < 0.33 { Outcome::Full } else { Outcome::Ok };
+            let outcome = if at.0 > 2 && rng.f64() < 0.33 { Outcome::Rejected } else { Outcome::Ok };
             let further =
                 d.finish_with(request, attempt, at, outcome, report.filter(|_| outcome == Outcome::Ok));
             for (id, at) in sends(&further) {
--- a/crates/decide/tests/queueing.rs
+++ b/crates/decide/tests/queueing.rs
@@ -46,7 +46,7 @@
     // The flood uses up a few seconds' worth of its quota with requests whose clients disconnect.
     for _ in 0..10 {
         let (id, _) = d.arrive_with(SAFE, Some(TenantId(0)), ms(3000));
-        d.handle(Event::Departed { id });
+        d.handle(Event::ClientGone { id });
     }
     let (over_quota, _) = d.arrive_with(SAFE, Some(TenantId(0)), ms(3000));
     let (within_quota, _) = d.arrive_with(SAFE, Some(TenantId(1)), ms(3000));
--- a/crates/decide/tests/random.rs
+++ b/crates/decide/tests/random.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 struct OpenRequest {
-    request: Call,
+    request: Request,
     attempts: Vec<(Endpoint, Time, Option<Outcome>, Time)>,
     answered: bool,
 }
@@ -83,7 +83,7 @@
     fn check_action(&mut self, action: Action) {
         let now = self.now;
         match action {
-            Action::Send { id, endpoint, until } => {
+            Action::Send { id, endpoint, attempt_deadline } => {
                 let e = *self.listed.get(&endpoint).expect("sends only to listed endpoints");
                 assert_eq!(
                     e.state,
@@ -93,7 +93,7 @@
                 let max = self.settings.limits.max_attempts.max(1) as usize;
                 let open = self.requests.get_mut(&id).expect("a known request");
                 assert!(!open.answered, "nothing is sent after the final answer");
-                assert!(until <= open.request.due && open.request.due >= now);
+                assert!(attempt_deadline <= open.request.deadline && open.request.deadline >= now);
                 assert!(open.attempts.len() < max, "attempts are limited");
                 assert!(self.settings.limits.may_duplicate || open.attempts.iter().all(|a| a.2.is_some()));
                 let may_have_run =
@@ -109,7 +109,7 @@
                         }
                     }
                 }
-                open.attempts.push((e, now, None, until.max(now)));
+                open.attempts.push((e, now, None, attempt_deadline.max(now)));
             }
             Action::Refuse { id, .. } => {
                 let open = self.requests.get_mut(&id).expect("a known request");
@@ -155,9 +155,9 @@
         self.next_id += 1;
         let class = ClassId(self.rng.u16(..4));
         let tenant = self.rng.bool().then(|| TenantId(self.rng.u16(..5)));
-        let due = self.now + ms(self.rng.u64(0..4000));
+        let deadline = self.now + ms(self.rng.u64(0..4000));
         let cost = self.rng.bool().then(|| ms(self.rng.u64(0..100)));
-        let request = Call { id, class, tenant, due, cost };
+        let request = Request { id, class, tenant, deadline, cost };
         self.requests.insert(id, OpenRequest { request, attempts: Vec::new(), answered: false });
         self.handle(Event::Arrived(request));
     }
@@ -196,8 +196,12 @@
         let mut entries = Vec::new();
         for _ in 0..self.rng.usize(..8) {
             let n = self.rng.u64(1..25);
-            let states =
-                [EndpointState::Ready, EndpointState::Ready, EndpointState::Draining, EndpointState::Gone];
+            let states = [
+                EndpointState::Ready,
+                EndpointState::Ready,
+                EndpointState::Draining,
+                EndpointState::Removed,
+            ];
             let started = match self.rng.u8(..4) {
                 0 => Some(self.now),
                 1 => Some(self.now + Duration::from_secs(9)),
@@ -207,7 +211,7 @@
             let e = Endpoint {
                 zone,
                 cell: CellId((n % 9) as u16),
-                kind: KindId((n % 2) as u16),
+                machine_type: MachineTypeId((n % 2) as u16),
                 state: states[self.rng.usize(..4)],
                 started,
                 ..endpoint(n)
@@ -253,7 +257,7 @@
     fn assert_answered_in_time(&self) {
         for (id, open) in &self.requests {
             assert!(
-                open.answered || self.now <= open.request.due + ms(8),
+                open.answered || self.now <= open.request.deadline + ms(8),
                 "{id} got no answer in its time"
             );
         }
@@ -278,7 +282,7 @@
                 if let Some(open) = self.requests.get_mut(&id) {
                     open.answered = true;
                 }
-                self.handle(Event::Departed { id });
+                self.handle(Event::ClientGone { id });
             }
             15 => {
                 let token = TimerToken(self.rng.u64(..));
@@ -344,7 +348,8 @@
 }
 
 /// Guards against a refactoring that changes a decision. The digests were recorded when the module
-/// was one file; a change that alters decisions on purpose records them anew and says so.
+/// was one file, and anew when names in the events and actions changed; a change that alters
+/// decisions on purpose records them anew and says so.
 #[test]
 fn recorded_decisions_are_reproduced_exactly() {
     let digest_of = |seed| {
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -26,12 +26,12 @@
     let mut d = Driver::with(settings(), &ten_endpoints());
     let (id, actions) = d.arrive(UNSAFE);
     let (_, first) = first_send(&actions).expect("sent at once");
-    let actions = d.finish(id, 0, first, Outcome::Full);
+    let actions = d.finish(id, 0, first, Outcome::Rejected);
     let (_, second) = first_send(&actions).expect("tried again");
     assert_ne!(first, second);
     let actions = d.finish(id, 1, second, Outcome::ConnectFailed);
     let (_, third) = first_send(&actions).expect("tried again");
-    let actions = d.finish(id, 2, third, Outcome::Full);
+    let actions = d.finish(id, 2, third, Outcome::Rejected);
     assert_eq!(refused(&actions), [id], "attempts are used up and nothing ran");
     assert_eq!(failed(&actions), []);
 }
@@ -58,7 +58,7 @@
 
 #[test]
 fn draining_or_removed_endpoint_receives_no_new_attempts() {
-    for state in [EndpointState::Draining, EndpointState::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut d = Driver::with(settings(), &ten_endpoints()[..2]);
         d.update_list(ListKind::Delta, &[Endpoint { state, ..endpoint(1) }]);
         for _ in 0..20 {
@@ -98,9 +98,13 @@
     let mut d = Driver::with(settings(), &ten_endpoints());
     let (id, actions) = d.arrive(UNSAFE);
     let (_, endpoint) = first_send(&actions).expect("sent");
-    assert_eq!(d.handle(Event::Departed { id }), [Action::Cancel { id, attempt: 0 }]);
+    assert_eq!(d.handle(Event::ClientGone { id }), [Action::Cancel { id, attempt: 0 }]);
     assert_eq!(d.finish(id, 0, endpoint, Outcome::Cancelled), []);
-    assert_eq!(d.handle(Event::Departed { id }), [], "an event about a request that is closed is ignored");
+    assert_eq!(
+        d.handle(Event::ClientGone { id }),
+        [],
+        "an event about a request that is closed is ignored"
+    );
 }
 
 #[test]
@@ -111,7 +115,7 @@
     for (class, left, expected) in [(SAFE, 3000, 1000), (SAFE, 700, 700), (CHEAP, 3000, 3000)] {
         let (_, actions) = d.arrive_with(class, None, ms(left));
         let until = actions.iter().find_map(|a| match a {
-            Action::Send { until, .. } => Some(*until),
+            Action::Send { attempt_deadline, .. } => Some(*attempt_deadline),
             _ => None,
         });
         // The second case is a client retry: only 700 ms of its 3 s are left, so its latency target
--- a/crates/lab/src/policies/rival/choose.rs
+++ b/crates/lab/src/policies/rival/choose.rs
@@ -48,7 +48,7 @@
         t.cost.0 * libm::exp(-now.since(t.cost.1).as_secs_f64() / DECAY_S)
     }
 
-    pub(super) fn pick(&mut self, now: Time, call: &Call, truth: &Truth<'_>) -> Option<usize> {
+    pub(super) fn pick(&mut self, now: Time, call: &Request, truth: &Truth<'_>) -> Option<usize> {
         let ready: Vec<usize> = (0..self.targets.len()).filter(|&i| self.targets[i].ready).collect();
         if ready.is_empty() {
             return None;
--- a/crates/lab/src/policies/rival/mod.rs
+++ b/crates/lab/src/policies/rival/mod.rs
@@ -36,7 +36,7 @@
 }
 
 struct Open {
-    call: Call,
+    call: Request,
     began: Time,
     worth_until: Time,
     attempts: u8,
@@ -140,16 +140,19 @@
             o.attempts += 1;
             o.out = true;
         }
-        actions.push(Action::Send { id, endpoint: self.targets[i].id, until });
+        actions.push(Action::Send { id, endpoint: self.targets[i].id, attempt_deadline: until });
         true
     }
 
-    fn arrived(&mut self, now: Time, call: Call, truth: &Truth<'_>, actions: &mut Vec<Action>) {
+    fn arrived(&mut self, now: Time, call: Request, truth: &Truth<'_>, actions: &mut Vec<Action>) {
         let Some(class) = self.set.classes.get(usize::from(call.class.0)) else {
             return actions.push(Action::Refuse { id: call.id, retry_after: None });
         };
-        let worth_until =
-            if class.late_worth > 0.0 { call.due } else { (now + class.latency_target).min(call.due) };
+        let worth_until = if class.late_worth > 0.0 {
+            call.deadline
+        } else {
+            (now + class.latency_target).min(call.deadline)
+        };
         let wait = class.latency_target.mul_f64(WAIT_SHARE);
         if let Some(budget) = &mut self.budget {
             *budget = (*budget + 0.2).min(20.0);
@@ -231,7 +234,7 @@
             t.usual = if t.usual > 0.0 { t.usual * 0.9 + took * 0.1 } else { took };
             t.errors = t.errors * 0.95 + if outcome == Outcome::Ok { 0.0 } else { 0.05 };
         }
-        let dropped = matches!(outcome, Outcome::Full | Outcome::TimedOut);
+        let dropped = matches!(outcome, Outcome::Rejected | Outcome::TimedOut);
         if outcome != Outcome::Cancelled {
             self.limit.learn(elapsed, dropped, self.running);
         }
@@ -305,7 +308,7 @@
                 self.report(now, endpoint, report);
                 self.finished(now, id, endpoint, outcome, closed, elapsed, truth, actions);
             }
-            Event::Departed { id } => {
+            Event::ClientGone { id } => {
                 if let Some(open) = self.close(id) {
                     if open.out && self.set.limits.may_cancel {
                         actions.push(Action::Cancel { id, attempt: open.attempts - 1 });
--- a/crates/lab/src/world/cold.rs
+++ b/crates/lab/src/world/cold.rs
@@ -57,7 +57,7 @@
         self.book.fallen += 1;
         self.kill_server(server, false);
         self.fallen.push(server);
-        self.list_later(server, EndpointState::Gone, self.scenario.discovery.silent);
+        self.list_later(server, EndpointState::Removed, self.scenario.discovery.silent);
         true
     }
 }
--- a/crates/lab/src/world/feed.rs
+++ b/crates/lab/src/world/feed.rs
@@ -28,7 +28,9 @@
 
     pub(super) fn act(&mut self, sidecar: u32, action: Action) {
         match action {
-            Action::Send { id, endpoint, until } => self.send(sidecar, id, endpoint, until),
+            Action::Send { id, endpoint, attempt_deadline: until } => {
+                self.send(sidecar, id, endpoint, until)
+            }
             Action::Refuse { id, retry_after } => {
                 self.answer(sidecar, flow_key(id), Answer::Refused(retry_after));
             }
@@ -62,10 +64,10 @@
         !self.cuts.iter().any(cut)
     }
 
-    pub(super) fn call_of(&self, flow: FlowKey) -> Option<Call> {
+    pub(super) fn call_of(&self, flow: FlowKey) -> Option<Request> {
         let f = self.flows.get(flow)?;
         let tenant = (!self.scenario.tenants.is_empty()).then_some(TenantId(f.tenant));
         let due = decider_time(f.due);
-        Some(Call { id: request_id(flow), class: ClassId(f.class), tenant, due, cost: None })
+        Some(Request { id: request_id(flow), class: ClassId(f.class), tenant, deadline: due, cost: None })
     }
 }
--- a/crates/lab/src/world/front.rs
+++ b/crates/lab/src/world/front.rs
@@ -227,7 +227,7 @@
         let Some(f) = self.flows.get_mut(flow).filter(|f| !f.answered) else { return };
         f.answered = true;
         let sidecar = f.sidecar;
-        self.feed(sidecar, Event::Departed { id: request_id(flow) });
+        self.feed(sidecar, Event::ClientGone { id: request_id(flow) });
         self.release(flow);
     }
 
--- a/crates/lab/src/world/listing.rs
+++ b/crates/lab/src/world/listing.rs
@@ -2,7 +2,7 @@
 
 use super::server::{Life, Nanos};
 use super::*;
-use cottonpoint_decide::{CellId, Endpoint, EndpointState, KindId, ZoneId};
+use cottonpoint_decide::{CellId, Endpoint, EndpointState, MachineTypeId, ZoneId};
 
 impl World<'_> {
     pub(super) fn list_later(
@@ -21,14 +21,14 @@
         let still = match state {
             EndpointState::Ready => s.life == Life::Up,
             EndpointState::Draining => s.life == Life::Draining,
-            EndpointState::Gone => matches!(s.life, Life::Down | Life::Vanished),
+            EndpointState::Removed => matches!(s.life, Life::Down | Life::Vanished),
         };
         if !still {
             return;
         }
         let (tier, started) = (s.build.tier, s.started);
         match state {
-            EndpointState::Gone => self.registry[tier].remove(&server),
+            EndpointState::Removed => self.registry[tier].remove(&server),
             _ => self.registry[tier].insert(server, (state, started)),
         };
         self.listed_at.insert(server, self.now);
@@ -93,7 +93,7 @@
             id: endpoint_id(server),
             zone: ZoneId(0),
             cell: CellId(0),
-            kind: KindId(kind),
+            machine_type: MachineTypeId(kind),
             state,
             started: started.map(decider_time),
         }
@@ -127,7 +127,7 @@
         gone.retain(|s| !self.registry[tier].contains_key(s));
         gone.sort_unstable();
         for server in gone {
-            self.note_told(sidecar, server, EndpointState::Gone, None);
+            self.note_told(sidecar, server, EndpointState::Removed, None);
         }
         let mut entries = Vec::with_capacity(list.len());
         for (server, state, started) in list {
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -31,8 +31,8 @@
 use crate::scenario::Scenario;
 use crate::score::Book;
 use cottonpoint_decide::{
-    Action, Call, ClassId, EndpointId, Event, ListKind, LoadReport, Outcome, RequestId, Settings, TenantId,
-    Time, TimerToken,
+    Action, ClassId, EndpointId, Event, ListKind, LoadReport, Outcome, Request, RequestId, Settings,
+    TenantId, Time, TimerToken,
 };
 use rules::Rules;
 use rustc_hash::FxHashMap;
--- a/crates/lab/src/world/troubles.rs
+++ b/crates/lab/src/world/troubles.rs
@@ -85,7 +85,7 @@
             What::Vanish | What::Die => {
                 for &server in struck {
                     self.kill_server(server, t.what == What::Vanish);
-                    self.list_later(server, EndpointState::Gone, self.scenario.discovery.silent);
+                    self.list_later(server, EndpointState::Removed, self.scenario.discovery.silent);
                 }
             }
             What::Partition => {
@@ -176,7 +176,7 @@
             return;
         }
         self.kill_server(server, false);
-        self.list_later(server, EndpointState::Gone, self.scenario.discovery.notice);
+        self.list_later(server, EndpointState::Removed, self.scenario.discovery.notice);
         if replace {
             let build = self.servers[server as usize].build.clone();
             let successor = self.servers.len() as u32;
--- a/crates/lab/src/world/work.rs
+++ b/crates/lab/src/world/work.rs
@@ -48,7 +48,7 @@
             w.plan(now + after, Happening::Short { flow, attempt, outcome });
         };
         if u32::from(attempt) >= self.scenario.rules.max_attempts {
-            return short(self, 0, Outcome::Moot);
+            return short(self, 0, Outcome::NotSent);
         }
         if server as usize >= self.servers.len() || self.servers[server as usize].build.tier != tier {
             return short(self, 0, Outcome::ConnectFailed);
@@ -196,7 +196,7 @@
         }
         let s = &mut self.servers[server as usize];
         if s.life == Life::Draining {
-            return self.respond(key, Outcome::Full, 0);
+            return self.respond(key, Outcome::Rejected, 0);
         }
         let failing = s.failing.max(s.build.error_rate);
         let mut luck = Draw::new(self.seed, Purpose::Attempt, !self.jobs[key].key);
@@ -206,7 +206,7 @@
         let s = &mut self.servers[server as usize];
         s.advance(now);
         match s.enter(key) {
-            Entry::Full => return self.respond(key, Outcome::Full, 0),
+            Entry::Full => return self.respond(key, Outcome::Rejected, 0),
             Entry::Waiting => self.jobs[key].stage = Stage::Waiting,
             Entry::Working => self.begin(key),
         }
--- a/crates/net/src/list/answer.rs
+++ b/crates/net/src/list/answer.rs
@@ -62,7 +62,7 @@
                 address: line.host_port,
                 zone: ZoneId(position(&names.zones, &line.zone)),
                 cell: CellId(line.cell),
-                kind: KindId(position(&names.kinds, &line.machine_type)),
+                kind: MachineTypeId(position(&names.kinds, &line.machine_type)),
                 lifecycle,
                 started_at_ms: line.started_at_ms,
             })
--- a/crates/net/src/servers/mod.rs
+++ b/crates/net/src/servers/mod.rs
@@ -121,7 +121,7 @@
     /// silent, and each would cost a whole time-out to find out; a new one fails at once.
     fn heard(&self, target: EndpointId, outcome: Outcome) {
         match outcome {
-            Outcome::Ok | Outcome::Error | Outcome::Full => {
+            Outcome::Ok | Outcome::Error | Outcome::Rejected => {
                 self.silent.borrow_mut().remove(&target);
             }
             Outcome::TimedOut => {
--- a/crates/net/src/servers/send.rs
+++ b/crates/net/src/servers/send.rs
@@ -65,7 +65,7 @@
             Progress::Written => Outcome::TimedOut,
             Progress::Begun => Outcome::ConnectFailed,
             Progress::Connecting(since) if since.elapsed() >= SILENCE_TELLS => Outcome::ConnectFailed,
-            Progress::Connecting(_) | Progress::NotBegun => Outcome::Moot,
+            Progress::Connecting(_) | Progress::NotBegun => Outcome::NotSent,
         }
     }
 }
@@ -76,7 +76,7 @@
     match Origin::of(why) {
         Origin::Process => {
             tracing::debug!(%why, "no connection to an endpoint, by a fault of this process");
-            Outcome::Moot
+            Outcome::NotSent
         }
         Origin::Peer | Origin::Path | Origin::Silence => Outcome::ConnectFailed,
     }
@@ -108,7 +108,7 @@
             loop {
                 match attempt.halted().await {
                     Halt::Withdrawn => return ended(Outcome::Cancelled),
-                    Halt::TargetLeft if !progress.get().has_begun() => return ended(Outcome::Moot),
+                    Halt::TargetLeft if !progress.get().has_begun() => return ended(Outcome::NotSent),
                     Halt::TargetLeft => {}
                 }
             }
@@ -134,7 +134,7 @@
         let failed = |outcome| (outcome, None, Served::default());
         let (connection, way) = match self.take(target).await {
             Some(connection) => (Ok(connection), Duration::ZERO),
-            None if !waits() => return failed(Outcome::Moot),
+            None if !waits() => return failed(Outcome::NotSent),
             // What comes first on a new connection waits for its handshake, which may take as long as that.
             None => {
                 progress.set(Progress::Connecting(Instant::now()));
@@ -177,7 +177,7 @@
         }
         let outcome = match status {
             200 => Outcome::Ok,
-            503 | 504 if head.get("x-unprocessed") == Some("1") => Outcome::Full,
+            503 | 504 if head.get("x-unprocessed") == Some("1") => Outcome::Rejected,
             _ => Outcome::Error,
         };
         let content_type = head.get("content-type").map(str::to_owned);
--- a/crates/program/src/bin/cottonpoint-adapter/wire.rs
+++ b/crates/program/src/bin/cottonpoint-adapter/wire.rs
@@ -76,12 +76,12 @@
 fn outcome(code: U16) -> Outcome {
     match code.get() {
         0 => Outcome::Ok,
-        11 => Outcome::Full,
+        11 => Outcome::Rejected,
         110 => Outcome::TimedOut,
         111 => Outcome::ConnectFailed,
         104 => Outcome::Reset,
         125 => Outcome::Cancelled,
-        114 => Outcome::Moot,
+        114 => Outcome::NotSent,
         // 5, and whatever else an endpoint may come to say: it may have run.
         _ => Outcome::Error,
     }
@@ -92,14 +92,14 @@
         let state = match self.state {
             1 => EndpointState::Ready,
             2 => EndpointState::Draining,
-            0 => EndpointState::Gone,
+            0 => EndpointState::Removed,
             other => return malformed(format!("unknown endpoint state {other}")),
         };
         Ok(Endpoint {
             id: self.endpoint.into(),
             zone: ZoneId(self.zone.get()),
             cell: CellId(self.cell.get()),
-            kind: KindId(self.kind.get()),
+            machine_type: MachineTypeId(self.kind.get()),
             state,
             started: Some(self.started.get()).filter(|&t| t != 0).map(Time),
         })
@@ -163,11 +163,11 @@
         }
         25 => {
             let call: &Ingress = r.next()?;
-            Record::Event(Event::Arrived(Call {
+            Record::Event(Event::Arrived(Request {
                 id: RequestId(call.id.get()),
                 class: ClassId(u16::from(call.class)),
                 tenant: Some(TenantId(call.tenant.get())),
-                due: Time(call.due.get()),
+                deadline: Time(call.due.get()),
                 cost: (call.marks & 1 != 0).then_some(Duration::from_nanos(call.cost.get())),
             }))
         }
@@ -192,7 +192,7 @@
                 report: r.report(fields)?,
             })
         }
-        19 => Record::Event(Event::Departed { id: r.request()? }),
+        19 => Record::Event(Event::ClientGone { id: r.request()? }),
         22 => Record::Event(Event::Timer { token: TimerToken(r.u64()?) }),
         _ => Record::Other,
     }))
@@ -244,7 +244,7 @@
         let number = |id: RequestId| U64::new(id.0);
         let nanos = |d: Duration| U64::new(u64::try_from(d.as_nanos()).unwrap_or(u64::MAX));
         match action {
-            Action::Send { id, endpoint, until } => {
+            Action::Send { id, endpoint, attempt_deadline: until } => {
                 let until = U64::new(until.0.max(1));
                 self.record(80, Send { id: number(id), endpoint: endpoint.into(), until }.as_bytes());
             }
--- a/crates/program/src/metrics.rs
+++ b/crates/program/src/metrics.rs
@@ -172,11 +172,11 @@
     match outcome {
         Outcome::Ok => "served",
         Outcome::Error => "error",
-        Outcome::Full => "full",
+        Outcome::Rejected => "full",
         Outcome::TimedOut => "timed_out",
         Outcome::ConnectFailed => "connect_failed",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "moot",
+        Outcome::NotSent => "moot",
     }
 }
--- a/crates/program/tests/sidecar/local_faults.rs
+++ b/crates/program/tests/sidecar/local_faults.rs
@@ -41,7 +41,7 @@
 #[test]
 fn an_attempt_without_a_connection_to_spare_is_not_the_endpoints_failure() {
     let endpoint = Peer::new();
-    assert_eq!(outcome(endpoint.address, 0, ms(500), ms(1000)), Outcome::Moot);
+    assert_eq!(outcome(endpoint.address, 0, ms(500), ms(1000)), Outcome::NotSent);
 }
 
 /// Guards against: an endpoint blamed for a connection that the attempt's own time did not wait for.
@@ -49,7 +49,7 @@
 fn an_attempt_that_ends_before_its_connection_could_come_up_is_not_the_endpoints_failure() {
     let (_listener, address) = narrow();
     let _fillers = [(), ()].map(|()| TcpStream::connect_timeout(&address, ms(200)));
-    assert_eq!(outcome(address, 8, ms(500), ms(30)), Outcome::Moot);
+    assert_eq!(outcome(address, 8, ms(500), ms(30)), Outcome::NotSent);
 }
 
 /// Guards against: an endpoint that refuses connections, or lets none come up in its time, taken for a healthy one.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -48,7 +48,7 @@
     pub tenants: Vec<String>,
     /// The zone names, indexed by [`ZoneId`].
     pub zones: Vec<String>,
-    /// The names of machine kinds, indexed by [`KindId`].
+    /// The names of machine kinds, indexed by [`MachineTypeId`].
     pub kinds: Vec<String>,
     /// A connection that takes longer to come up is given up.
     pub connect_timeout: Duration,
