--- a/crates/decide/src/policy/limit.rs
+++ b/crates/decide/src/policy/limit.rs
@@ -13,7 +13,7 @@
 /// limit is decreased.
 const LIMIT_DECREASE: f64 = 0.85;
 const OVERLOAD_SHARE_MAX: f64 = 0.125;
-/// A success near the limit adds this much where all endpoints that serve report to be idle.
+/// A success near the limit adds this much where all endpoints that serve report that they are idle.
 const LIMIT_IDLE_INCREASE: f64 = 0.25;
 /// Weight of one outcome in the moving share of outcomes not accepted.
 pub(super) const OUTCOME_GAIN: f64 = 1.0 / 16.0;
