--- a/crates/core/src/admit.rs
+++ b/crates/core/src/admit.rs
@@ -35,7 +35,7 @@
             RequestState { settings_version, decisions: sender, attempts: Vec::new(), closed: false };
         core.requests.insert(id, entry);
         drop(core);
-        let call = Call { id, class: new.class, tenant: new.tenant, due: new.deadline, cost: None };
+        let call = Request { id, class: new.class, tenant: new.tenant, deadline: new.deadline, cost: None };
         self.counts.count_admitted();
         self.feed(Event::Arrived(call));
         RequestHandle { sidecar: self.clone(), id, decisions }
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -63,7 +63,7 @@
     /// Outcome reported for an attempt that was denied. No such attempt has run, and a denial by
     /// this process is no evidence about the endpoint.
     pub fn outcome(self) -> Outcome {
-        Outcome::Moot
+        Outcome::NotSent
     }
 }
 
--- a/crates/core/src/guard/tests.rs
+++ b/crates/core/src/guard/tests.rs
@@ -72,6 +72,6 @@
 #[test]
 fn denials_are_reported_as_moot() {
     for denial in Denial::ALL {
-        assert_eq!(denial.outcome(), Outcome::Moot, "{denial:?}");
+        assert_eq!(denial.outcome(), Outcome::NotSent, "{denial:?}");
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -191,7 +191,7 @@
             match &event {
                 Event::Endpoints { .. } | Event::DiscoveryFailed => None,
                 Event::Arrived(call) => core.requests.get(&call.id).map(|e| e.settings_version),
-                Event::Finished { id, .. } | Event::StreamStarted { id } | Event::Departed { id } => Some(
+                Event::Finished { id, .. } | Event::StreamStarted { id } | Event::ClientGone { id } => Some(
                     core.requests.get(id).map_or_else(|| core.current_version(), |e| e.settings_version),
                 ),
                 Event::Timer { .. } | Event::ProbeFinished { .. } => Some(core.current_version()),
@@ -251,7 +251,7 @@
         action: Action,
     ) -> Option<Event<'static>> {
         match action {
-            Action::Send { id, endpoint, until } => {
+            Action::Send { id, endpoint, attempt_deadline: until } => {
                 return route::queue_attempt(self, core, id, endpoint, until);
             }
             Action::Refuse { id, retry_after } => {
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -52,7 +52,7 @@
             let _ = entry.decisions.try_send(Decision::Ended);
             drop(core);
             self.sidecar.counts.count_departed();
-            self.sidecar.feed(Event::Departed { id: self.id });
+            self.sidecar.feed(Event::ClientGone { id: self.id });
         }
     }
 }
@@ -69,7 +69,7 @@
     let (abort, aborted) = async_channel::unbounded();
     let address = core.endpoint_list.find(endpoint);
     let Some(entry) = core.requests.get_mut(&id) else {
-        let (outcome, elapsed) = (Outcome::Moot, Duration::ZERO);
+        let (outcome, elapsed) = (Outcome::NotSent, Duration::ZERO);
         let (attempt, report) = (0, None);
         return Some(Event::Finished { id, attempt, endpoint, outcome, closed: true, elapsed, report });
     };
--- a/crates/core/src/targets.rs
+++ b/crates/core/src/targets.rs
@@ -38,7 +38,7 @@
     /// Cell that it runs in.
     pub cell: CellId,
     /// Machine kind that it runs on.
-    pub kind: KindId,
+    pub kind: MachineTypeId,
     /// Life-cycle state.
     pub lifecycle: Lifecycle,
     /// Unix time in milliseconds at which its process last started, by the deployment's clock; 0
@@ -148,10 +148,10 @@
             Lifecycle::Active if self.suspended => EndpointState::Draining,
             Lifecycle::Active => EndpointState::Ready,
             Lifecycle::Leaving => EndpointState::Draining,
-            Lifecycle::Left => EndpointState::Gone,
+            Lifecycle::Left => EndpointState::Removed,
         };
         let (id, zone, cell, kind) = (e.id, e.zone, e.cell, e.kind);
-        Endpoint { id, zone, cell, kind, state, started: entry.started }
+        Endpoint { id, zone, cell, machine_type: kind, state, started: entry.started }
     }
 
     /// Whether the list may not be used.
--- a/crates/lab/src/world/fleet.rs
+++ b/crates/lab/src/world/fleet.rs
@@ -102,9 +102,9 @@
     let cold_from = kinds.iter().map(|k| k.cold_from.from).fold(1.0, f64::min);
     let warm_after = kinds.iter().map(|k| k.cold_for.to).max().unwrap_or_default();
     let class = |c: &crate::scenario::Class| decide::Class {
-        aim: c.aim.duration(),
-        aim_stretch: 0.0,
-        give_up: c.give_up.duration(),
+        latency_target: c.aim.duration(),
+        latency_target_stretch: 0.0,
+        client_timeout: c.give_up.duration(),
         worth: c.worth,
         late_worth: c.late_worth,
         effect: match c.effect {
@@ -117,8 +117,8 @@
     };
     let over = s.tenants.iter().map(|t| t.over_share_worth).fold(1.0, f64::min);
     decide::Settings {
-        me: 0,
-        siblings: 1,
+        balancer_index: 0,
+        balancer_count: 1,
         zone: decide::ZoneId(0),
         from_clients: tier == 0,
         classes: s.classes.iter().map(class).collect(),
@@ -139,11 +139,11 @@
             may_probe: false,
             max_retry_after: Some(s.clients.max_retry_after.duration()),
         },
-        obligations: decide::Obligations {
-            cold_from,
+        slow_start: decide::SlowStart {
+            initial_capacity: cold_from,
             warm_after: warm_after.duration(),
-            fall_multiple: s.rules.fall_multiple,
-            fall_after: s.rules.fall_after.duration(),
+            overload_multiple: s.rules.fall_multiple,
+            overload_window: s.rules.fall_after.duration(),
         },
         cross_zone_price: 0.0,
     }
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -194,9 +194,9 @@
             Semantics::NonIdempotent => Effect::Unsafe,
         };
         let class = Class {
-            aim: positive_nanos(self.aim_ns),
-            aim_stretch: self.aim_stretch.unwrap_or_default().0,
-            give_up: positive_nanos(self.give_up_ns),
+            latency_target: positive_nanos(self.aim_ns),
+            latency_target_stretch: self.aim_stretch.unwrap_or_default().0,
+            client_timeout: positive_nanos(self.give_up_ns),
             worth: self.worth.0,
             late_worth: self.late_worth.unwrap_or_default().0,
             effect,
@@ -253,8 +253,8 @@
             return Err(BadSetting::missing("limits.max_retry_after_ns"));
         }
         let balancer = Settings {
-            me: self.me.0,
-            siblings: self.siblings.0,
+            balancer_index: self.me.0,
+            balancer_count: self.siblings.0,
             zone: ZoneId(self.my_zone.0),
             from_clients: value_or(self.tier, 0) == 0,
             classes,
@@ -269,11 +269,11 @@
                 may_probe: limits.probes.0,
                 max_retry_after: max_retry_after.filter(|_| sends_retry_after),
             },
-            obligations: decide::Obligations {
-                cold_from: self.obligations.cold_from.0,
+            slow_start: decide::SlowStart {
+                initial_capacity: self.obligations.cold_from.0,
                 warm_after: nanos(self.obligations.warm_after_ns),
-                fall_multiple: self.obligations.fall_multiple.0,
-                fall_after: nanos(self.obligations.tip_after_ns),
+                overload_multiple: self.obligations.fall_multiple.0,
+                overload_window: nanos(self.obligations.tip_after_ns),
             },
             cross_zone_price: self.penalties.and_then(|p| p.cross_zone).unwrap_or_default().0,
         };
