--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -191,9 +191,13 @@
             match &event {
                 Event::Endpoints { .. } | Event::DiscoveryFailed => None,
                 Event::Arrived(call) => core.requests.get(&call.id).map(|e| e.settings_version),
-                Event::Finished { id, .. } | Event::StreamStarted { id } | Event::ClientGone { id } => Some(
-                    core.requests.get(id).map_or_else(|| core.current_version(), |e| e.settings_version),
-                ),
+                Event::Finished { id, .. } | Event::StreamStarted { id } | Event::ClientGone { id } => {
+                    Some(
+                        core.requests
+                            .get(id)
+                            .map_or_else(|| core.current_version(), |e| e.settings_version),
+                    )
+                }
                 Event::Timer { .. } | Event::ProbeFinished { .. } => Some(core.current_version()),
             }
         };
--- a/crates/net/src/servers/send.rs
+++ b/crates/net/src/servers/send.rs
@@ -108,7 +108,9 @@
             loop {
                 match attempt.aborted().await {
                     AbortReason::Cancelled => return ended(Outcome::Cancelled),
-                    AbortReason::Unavailable if !progress.get().has_begun() => return ended(Outcome::NotSent),
+                    AbortReason::Unavailable if !progress.get().has_begun() => {
+                        return ended(Outcome::NotSent);
+                    }
                     AbortReason::Unavailable => {}
                 }
             }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -51,7 +51,7 @@
     pub tenants: Vec<String>,
     /// Zone names, indexed by [`ZoneId`].
     pub zones: Vec<String>,
-    /// Names of machine kinds, indexed by [`KindId`].
+    /// Names of machine kinds, indexed by [`MachineTypeId`].
     pub kinds: Vec<String>,
     /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
