--- a/crates/net/src/clients/mod.rs
+++ b/crates/net/src/clients/mod.rs
@@ -289,7 +289,7 @@
         let stage = if first_until.is_some() { Stage::Fresh } else { Stage::Kept };
         let until = first_until.unwrap_or_else(|| Instant::now() + IDLE);
         let mut reader = stream;
-        let arrived = super::by(until, buffer.fill(&mut reader));
+        let arrived = super::with_deadline(until, buffer.fill(&mut reader));
         let arrived = self.at_stage(stage, arrived).await;
         // What came while the word to close was on its way has been taken and is served.
         matches!(arrived, Some(Ok(n)) if n > 0) || matches!(stream.get_ref().peek(&mut [0]), Ok(n) if n > 0)
@@ -304,7 +304,7 @@
     ) -> Result<Option<(Head, Vec<u8>)>, Fault> {
         let mut reader = stream;
         let head = async { Ok(http::read_head(buffer, &mut reader, http::begins_request).await) };
-        let Some(head) = super::by(until, head).await.unwrap_or(Err(Fault::Stalled))? else {
+        let Some(head) = super::with_deadline(until, head).await.unwrap_or(Err(Fault::Stalled))? else {
             return Ok(None);
         };
         let framing = take_in::body_framing(&head)?;
@@ -313,7 +313,7 @@
         }
         let body = async { Ok(http::read_body(buffer, &mut reader, framing, http::BODY_LIMIT).await) };
         let body_until = until.max(Instant::now() + body_time(framing));
-        let body = super::by(body_until, body).await.unwrap_or(Err(Fault::Stalled))?;
+        let body = super::with_deadline(body_until, body).await.unwrap_or(Err(Fault::Stalled))?;
         Ok(Some((head, body)))
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,4 +1,5 @@
-//! What speaks on sockets, by peer: clients, servers (the targets) and the list (discovery).
+//! The sidecar's sockets, by peer: clients, endpoints (`servers`), discovery (`list`) and the
+//! operator's console.
 
 pub mod clients;
 pub mod console;
@@ -15,48 +16,51 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Runs a future for at most so long.
+/// Runs a future for at most `limit`, and fails with `TimedOut` after that.
 pub async fn within<T>(limit: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
-    by(Instant::now() + limit, work).await
+    with_deadline(Instant::now() + limit, work).await
 }
 
-/// Runs a future until some time at the latest.
-pub async fn by<T>(until: Instant, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+/// Runs a future until `deadline` at the latest, and fails with `TimedOut` then.
+pub async fn with_deadline<T>(
+    deadline: Instant,
+    work: impl Future<Output = io::Result<T>>,
+) -> io::Result<T> {
     future::or(work, async {
-        Timer::at(until).await;
+        Timer::at(deadline).await;
         Err(io::ErrorKind::TimedOut.into())
     })
     .await
 }
 
-/// Writes all bytes, past interruptions and short writes.
+/// Writes all bytes; continues after interruptions and short writes.
 pub async fn write_all(stream: &Async<TcpStream>, mut bytes: &[u8]) -> io::Result<()> {
     let mut writer = stream;
     while !bytes.is_empty() {
         match writer.write(bytes).await {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             Ok(written) => bytes = &bytes[written..],
-            Err(why) if why.kind() == io::ErrorKind::Interrupted => {}
-            Err(why) => return Err(why),
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            Err(error) => return Err(error),
         }
     }
     Ok(())
 }
 
-/// Reads a whole answer, past interim ones. Waiting for it is up to the caller, but once one has begun it must
-/// be whole `whole_within` that time.
-pub async fn read_answer(
+/// Reads one complete response and skips interim (1xx) ones. The caller bounds the wait for the
+/// first byte; once a response has begun, it must be complete within `completion_timeout`.
+pub async fn read_response(
     buffer: &mut Buffer,
     stream: &mut (impl AsyncRead + Unpin),
     limit: usize,
-    whole_within: Duration,
+    completion_timeout: Duration,
 ) -> http::Result<Answer> {
     for _ in 0..=http::INTERIM_LIMIT {
         if buffer.is_empty() && buffer.fill(stream).await? == 0 {
             return Err(Fault::Broken);
         }
         let answer = async { Ok(http::read_one_answer(buffer, stream, limit).await) };
-        let answer = within(whole_within, answer).await.unwrap_or(Err(Fault::Stalled))?;
+        let answer = within(completion_timeout, answer).await.unwrap_or(Err(Fault::Stalled))?;
         if let Some(answer) = answer {
             return Ok(answer);
         }
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -1,5 +1,6 @@
-//! The endpoint list: discovery, polled first at a drawn moment (an agent's list: at once), then watched for
-//! as long as the watch holds. When each poll is made and given up stands in `schedule`.
+//! The endpoint list. Discovery is polled first at a random moment (at once, where an agent pushes
+//! the list), then watched for as long as the watch holds. The `schedule` module decides when each
+//! poll is made and when it times out.
 
 mod answer;
 mod evidence;
@@ -16,311 +17,338 @@
 use cottonpoint_decide::*;
 use evidence::evidence;
 use futures_lite::future;
-use poll::{Connection, End, Failure, Poll, Request, Response};
-use schedule::{NextPoll, Outcome, Schedule};
+use poll::{Connection, Poll, PollEnd, PollFailure, PollRequest, PollResponse};
+use schedule::{NextPoll, PollOutcome, Schedule};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use superseded::Superseded;
+use superseded::SupersededPolls;
 
-/// The first poll of a process is made within this part of the settings' time for asking, if that is sooner.
-const FIRST_OF_ASKING: f64 = 0.36;
-/// Where discovery is, and how it tells.
+/// The first poll of a process is made within this fraction of `ask_within` (see the settings), if
+/// that is sooner than what the schedule says.
+const FIRST_POLL_FRACTION: f64 = 0.36;
+/// The address of discovery, and how it publishes the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Where it listens.
+    /// The address that discovery listens on.
     pub address: SocketAddr,
-    /// Whether it is an agent that lists are pushed to (the settings' `discovery`): what that holds counts as told at
-    /// once, so it is polled without the balancer's word.
+    /// Whether this is an agent that lists are pushed to (`discovery` in the settings). What such
+    /// an agent holds counts as notified at once, so it is polled without waiting for the balancer
+    /// to subscribe.
     pub pushed: bool,
 }
 
-/// The next place of discovery; never, once there is nobody to name one.
-async fn next_place(moved: &Receiver<Place>) -> Place {
+/// Returns the next address of discovery, or stays pending once the sender is gone.
+async fn next_discovery_address(moved: &Receiver<Place>) -> Place {
     match moved.recv().await {
-        Ok(place) => place,
+        Ok(address) => address,
         Err(_) => future::pending().await,
     }
 }
 
-/// Follows discovery for a sidecar.
+/// Follows discovery on behalf of a sidecar.
 pub struct Watcher {
-    /// Whom to tell.
+    /// The sidecar that receives the lists and the outcomes of polls.
     pub sidecar: Rc<Sidecar>,
-    /// Whose connections to targets that want nothing new are closed.
+    /// The endpoint connections; idle ones to endpoints that take no new work are closed.
     pub servers: Rc<Servers>,
-    /// Where discovery is.
+    /// The current address of discovery.
     pub discovery: Place,
-    /// How the list names things.
+    /// Maps the list's names of zones and machine kinds to indices.
     pub names: Names,
-    /// The version last told; `None` before any.
+    /// The list version that is held; `None` before the first list.
     pub generation: Option<u64>,
-    /// Where discovery is from now on, whenever that changes.
+    /// Receives the new address of discovery whenever it changes.
     pub moved: Receiver<Place>,
-    /// Draws the moments of polls.
+    /// Source of the jitter between polls.
     pub random: fastrand::Rng,
 }
 
-/// What came first: the end of a poll, or a change of what is to be polled.
-enum Step {
-    Ended(End),
-    /// A poll of the place before has ended.
-    SupersededEnded(End),
-    Moved(Place),
-    /// Nobody is left to poll for.
-    Over,
+/// What happened first: a poll ended, or the target of the polls changed.
+enum WatchEvent {
+    PollEnded(PollEnd),
+    /// A poll of a previous discovery address ended.
+    SupersededPollEnded(PollEnd),
+    DiscoveryMoved(Place),
+    /// The balancer that subscribes is gone: nobody needs the list any more.
+    Unsubscribed,
 }
 
-/// What discovery answered, and whether early (see `schedule`).
-struct News {
+/// The content of an answer, and whether it came early (see `schedule`).
+struct ListUpdate {
     kind: ListKind,
-    listed: Vec<Listed>,
+    entries: Vec<Listed>,
     early: bool,
 }
 
-/// The failure last logged of an outage: one that lasts is logged once; the log bounds the rate of those that change.
+/// The failure last logged in the current outage. A failure that persists is logged once; the log
+/// itself limits the rate of those that change.
 #[derive(Default)]
-struct LastLogged(Option<String>);
+struct OutageLog(Option<String>);
 
-impl LastLogged {
-    /// Whether this failure is another one than the last.
-    fn changes_to(&mut self, failure: &str) -> bool {
+impl OutageLog {
+    /// Records a failure. Returns whether it differs from the last one.
+    fn record_failure(&mut self, failure: &str) -> bool {
         self.0.replace(failure.to_owned()).as_deref() != Some(failure)
     }
 
-    /// Whether an outage ends here.
-    fn ends(&mut self) -> bool {
+    /// Records a success. Returns whether it ends an outage.
+    fn end_outage(&mut self) -> bool {
         self.0.take().is_some()
     }
 }
 
-/// How far the polls of one discovery have come.
-struct Polling {
+/// The state of the polls of one discovery address.
+struct PollState {
     schedule: Schedule,
-    /// When the next poll is made.
-    due: Instant,
-    /// The connection of the poll before, if it may be used again.
-    kept: Option<Connection>,
-    under_way: Option<Poll>,
+    /// The time at which the next poll is made.
+    next_poll_at: Instant,
+    /// The connection of the last poll, if it can be reused.
+    idle_connection: Option<Connection>,
+    in_flight: Option<Poll>,
 }
 
-impl Polling {
-    fn new((schedule, next): (Schedule, NextPoll)) -> Polling {
-        Polling { schedule, due: Instant::now() + next.pause(), kept: None, under_way: None }
+impl PollState {
+    fn new((schedule, next): (Schedule, NextPoll)) -> PollState {
+        PollState {
+            schedule,
+            next_poll_at: Instant::now() + next.delay(),
+            idle_connection: None,
+            in_flight: None,
+        }
     }
 }
 
 impl Watcher {
-    /// Makes one poll after the other, each when its schedule says, until the balancer is gone that subscribes. Where
-    /// discovery moves to is polled soon: the old place closes its connections, and what the new one has to tell counts
-    /// as told soon.
-    pub async fn run(mut self, subscribed: Receiver<()>) {
-        let mut last_logged = LastLogged::default();
-        let mut polling = Polling::new(self.first_poll());
-        let mut superseded = Superseded::default();
+    /// Makes one poll after the other, each at the time that the schedule gives, until the
+    /// subscribing balancer is gone. A new discovery address is polled soon: the old discovery
+    /// closes its connections, and what the new one has counts as notified soon after the change.
+    pub async fn run(mut self, subscriptions: Receiver<()>) {
+        let mut outage_log = OutageLog::default();
+        let mut state = PollState::new(self.first_poll());
+        let mut superseded = SupersededPolls::default();
         let moved = self.moved.clone();
         loop {
-            let moves = async { Step::Moved(next_place(&moved).await) };
-            let before = async { Step::SupersededEnded(superseded.next().await) };
-            let poll = self.poll(&mut polling, &subscribed);
-            match future::or(moves, future::or(before, poll)).await {
-                Step::Ended(end) => {
-                    if self.ended(end, &mut polling, &mut last_logged) {
-                        superseded.drop_all();
+            let moved_event = async { WatchEvent::DiscoveryMoved(next_discovery_address(&moved).await) };
+            let superseded_end = async { WatchEvent::SupersededPollEnded(superseded.next().await) };
+            let poll_end = self.drive_poll(&mut state, &subscriptions);
+            match future::or(moved_event, future::or(superseded_end, poll_end)).await {
+                WatchEvent::PollEnded(end) => {
+                    if self.handle_poll_end(end, &mut state, &mut outage_log) {
+                        superseded.clear();
                     }
                 }
-                Step::SupersededEnded(end) => self.take_superseded(end),
-                Step::Moved(place) => {
-                    polling.under_way.take().into_iter().for_each(|poll| superseded.keep(poll));
-                    polling = Polling::new(self.move_to(place));
+                WatchEvent::SupersededPollEnded(end) => self.apply_superseded(end),
+                WatchEvent::DiscoveryMoved(address) => {
+                    state.in_flight.take().into_iter().for_each(|poll| superseded.keep(poll));
+                    state = PollState::new(self.switch_discovery(address));
                 }
-                Step::Over => return,
+                WatchEvent::Unsubscribed => return,
             }
-            while subscribed.try_recv().is_ok() {}
+            while subscriptions.try_recv().is_ok() {}
         }
     }
 
-    /// The first poll of a process.
+    /// Returns the schedule and the delay of the first poll of a process.
     fn first_poll(&mut self) -> (Schedule, NextPoll) {
         let (schedule, next) = Schedule::new(self.discovery.pushed);
         let NextPoll::FirstWithin(within) = next else { return (schedule, next) };
-        let asked = self.sidecar.ask_within().map(|ask| ask.mul_f64(FIRST_OF_ASKING));
-        let within = asked.map_or(within, |asked| within.min(asked));
+        let ask_within = self.sidecar.ask_within().map(|time| time.mul_f64(FIRST_POLL_FRACTION));
+        let within = ask_within.map_or(within, |time| within.min(time));
         (schedule, NextPoll::After(within.mul_f64(self.random.f64())))
     }
 
-    /// Makes the next poll when it is due, or goes on with the one under way. It may be dropped and called again.
-    async fn poll(&mut self, polling: &mut Polling, subscribed: &Receiver<()>) -> Step {
-        if polling.under_way.is_none() {
-            if polling.due > Instant::now() {
-                Timer::at(polling.due).await;
+    /// Makes the next poll when it is due, or continues the one in flight. Cancel safe: the future
+    /// may be dropped and the method called again.
+    async fn drive_poll(&mut self, state: &mut PollState, subscriptions: &Receiver<()>) -> WatchEvent {
+        if state.in_flight.is_none() {
+            if state.next_poll_at > Instant::now() {
+                Timer::at(state.next_poll_at).await;
             }
-            if subscribed.is_closed() {
-                return Step::Over;
+            if subscriptions.is_closed() {
+                return WatchEvent::Unsubscribed;
             }
         }
-        let poll =
-            polling.under_way.get_or_insert_with(|| self.begin(&polling.schedule, polling.kept.take()));
+        let poll = state
+            .in_flight
+            .get_or_insert_with(|| self.start_poll(&state.schedule, state.idle_connection.take()));
         let end = poll.await;
-        polling.under_way = None;
-        Step::Ended(end)
+        state.in_flight = None;
+        WatchEvent::PollEnded(end)
     }
 
-    /// Begins a poll, on the connection that was kept, if any.
-    fn begin(&mut self, schedule: &Schedule, kept: Option<Connection>) -> Poll {
-        let hold = schedule.hold(self.generation.is_none());
-        self.sidecar.polled(PollEvent::Begun { hold });
-        let request = Request {
+    /// Starts a poll, on the idle connection if there is one.
+    fn start_poll(&mut self, schedule: &Schedule, idle_connection: Option<Connection>) -> Poll {
+        let hold_time = schedule.hold_time(self.generation.is_none());
+        self.sidecar.polled(PollEvent::Begun { hold: hold_time });
+        let request = PollRequest {
             address: self.discovery.address,
             generation: self.generation,
-            hold,
+            hold_time,
             schedule: schedule.clone(),
             sidecar: self.sidecar.clone(),
             random: self.random.fork(),
         };
-        Poll::begin(request, kept)
+        Poll::start(request, idle_connection)
     }
 
-    /// Takes what came of a poll, and sets when the next one is made. Whether it was answered.
-    fn ended(&mut self, end: End, polling: &mut Polling, last_logged: &mut LastLogged) -> bool {
-        let End { result, took, hold, asked_from } = end;
-        let news = result.and_then(|Response { body, connection }| {
-            let news = self.read(&body, asked_from, took < hold)?;
-            polling.kept = connection;
-            Ok(news)
+    /// Processes the end of a poll and schedules the next one. Returns whether the poll was
+    /// answered.
+    fn handle_poll_end(&mut self, end: PollEnd, state: &mut PollState, outage_log: &mut OutageLog) -> bool {
+        let PollEnd { result, took, hold_time, from_generation } = end;
+        let update = result.and_then(|PollResponse { body, connection }| {
+            let update = self.interpret(&body, from_generation, took < hold_time)?;
+            state.idle_connection = connection;
+            Ok(update)
         });
-        let answered = news.is_ok();
-        let next = match news {
-            Ok(news) => {
-                if last_logged.ends() {
-                    tracing::info!("discovery answers again");
+        let answered = update.is_ok();
+        let next = match update {
+            Ok(update) => {
+                if outage_log.end_outage() {
+                    tracing::info!("discovery is answering again");
                 }
-                let early = news.early;
-                self.take(news, took);
-                self.next_poll(&mut polling.schedule, Outcome::Answered { early }, took)
+                let early = update.early;
+                self.apply_update(update, took);
+                self.schedule_next(&mut state.schedule, PollOutcome::Answered { early }, took)
             }
-            Err(failure) => self.failed(&failure, took, &mut polling.schedule, last_logged),
+            Err(failure) => self.handle_failure(&failure, took, &mut state.schedule, outage_log),
         };
-        polling.due = Instant::now() + next.pause();
+        state.next_poll_at = Instant::now() + next.delay();
         answered
     }
 
-    /// Takes note of a poll that came to nothing, and says when the next one is made.
-    fn failed(
+    /// Reports a failed poll to the sidecar and the log. Returns when the next one is made.
+    fn handle_failure(
         &mut self,
-        Failure { outcome, why }: &Failure,
+        PollFailure { outcome, error }: &PollFailure,
         took: Duration,
         schedule: &mut Schedule,
-        last_logged: &mut LastLogged,
+        outage_log: &mut OutageLog,
     ) -> NextPoll {
         self.sidecar.polled(evidence(*outcome, took));
         self.sidecar.counts().poll_failed(outcome.name());
-        let is_new = last_logged.changes_to(&why.to_string());
-        if *outcome == Outcome::NotMade {
+        let is_new = outage_log.record_failure(&error.to_string());
+        if *outcome == PollOutcome::NotMade {
             if is_new {
-                tracing::warn!(failure = %why, "this process could not ask discovery");
+                tracing::warn!(failure = %error, "cannot poll discovery because of a local fault");
             }
         } else {
             if is_new {
-                tracing::warn!(failure = %why, "discovery failed, the old list holds");
+                tracing::warn!(failure = %error, "discovery poll failed; the current endpoint list stays in use");
             }
             self.sidecar.list_failed();
         }
-        let next = self.next_poll(schedule, *outcome, took);
-        self.log_failure(why, *outcome, took, next);
+        let next = self.schedule_next(schedule, *outcome, took);
+        self.log_failure(error, *outcome, took, next);
         next
     }
 
-    /// When the next poll is made, after one that took so long and ended so.
-    fn next_poll(&mut self, schedule: &mut Schedule, outcome: Outcome, took: Duration) -> NextPoll {
+    /// Returns when the next poll is made after one that took `took` and ended with `outcome`.
+    fn schedule_next(&mut self, schedule: &mut Schedule, outcome: PollOutcome, took: Duration) -> NextPoll {
         let (_, lease_left) = self.sidecar.list_age();
-        schedule.ended(outcome, took, lease_left, self.random.f64())
+        schedule.poll_ended(outcome, took, lease_left, self.random.f64())
     }
 
-    fn log_failure(&self, why: &io::Error, outcome: Outcome, took: Duration, next: NextPoll) {
+    fn log_failure(&self, error: &io::Error, outcome: PollOutcome, took: Duration, next: NextPoll) {
         let (age, lease_left) = self.sidecar.list_age();
         tracing::debug!(
-            failure = %why,
+            failure = %error,
             ?outcome,
             took_ms = took.as_millis() as u64,
             list_age_ms = age.map(|age| age.as_millis() as u64),
             lease_left_ms = lease_left.as_millis() as u64,
             ?next,
-            "discovery failed"
+            "discovery poll failed"
         );
     }
 
-    /// Hands on what discovery answered to a poll that took so long.
-    fn take(&self, News { kind, listed, .. }: News, took: Duration) {
-        let (generation, lines) = (self.generation, listed.len());
+    /// Passes the answer to a poll that took `took` on to the sidecar.
+    fn apply_update(&self, ListUpdate { kind, entries, .. }: ListUpdate, took: Duration) {
+        let (generation, lines) = (self.generation, entries.len());
         if lines > 0 {
-            tracing::info!(generation, lines, ?kind, took_ms = took.as_millis() as u64, "discovery told");
+            tracing::info!(
+                generation,
+                lines,
+                ?kind,
+                took_ms = took.as_millis() as u64,
+                "received a list update from discovery"
+            );
         }
-        let begun = self.sidecar.clock().now() - took;
-        self.sidecar.answered(kind, &listed, begun);
-        self.servers.keep_only(|target| self.sidecar.takes_work(target));
+        let started_at = self.sidecar.clock().now() - took;
+        self.sidecar.answered(kind, &entries, started_at);
+        self.servers.keep_only(|endpoint| self.sidecar.takes_work(endpoint));
     }
 
-    /// Discovery is there from now on. It is one service (the protocol page), so its versions go on, and a watch brings what
-    /// was missed at a fraction of the cost of the whole list; should they be others, the short first one shows it. The
-    /// place held is named again where its list is wanted at once.
-    fn move_to(&mut self, place: Place) -> (Schedule, NextPoll) {
+    /// Switches to another discovery address. Discovery is one service (the protocol
+    /// specification), so its list versions continue, and a watch brings what was missed at a
+    /// fraction of the cost of the whole list. Should the versions differ, the first, short watch
+    /// shows it. The current address is sent again where its list is wanted at once.
+    fn switch_discovery(&mut self, address: Place) -> (Schedule, NextPoll) {
         self.sidecar.polled(PollEvent::Moved);
-        if std::mem::replace(&mut self.discovery, place) == place {
-            Schedule::at_once(place.pushed)
+        if std::mem::replace(&mut self.discovery, address) == address {
+            Schedule::immediate(address.pushed)
         } else {
-            Schedule::moved(place.pushed, self.random.f64())
+            Schedule::moved(address.pushed, self.random.f64())
         }
     }
 
-    /// Reads the answer to a poll from that version, which came before the poll's wait was over, or not.
-    fn read(
+    /// Interprets the answer to a poll that asked for changes since `from_generation`;
+    /// `before_hold_ended` says whether it came before the poll's hold time was over.
+    fn interpret(
         &mut self,
         body: &[u8],
-        asked_from: Option<u64>,
-        before_wait_was_over: bool,
-    ) -> Result<News, Failure> {
-        let unusable = |why| Failure { outcome: Outcome::Unusable, why };
-        let (answer, (kind, listed)) = self.parsed(body).map_err(unusable)?;
-        if self.generation != asked_from && self.generation.is_some_and(|held| answer.generation < held) {
-            // A superseded poll has brought a newer list meanwhile.
-            return Ok(News { kind: ListKind::Delta, listed: Vec::new(), early: before_wait_was_over });
+        from_generation: Option<u64>,
+        before_hold_ended: bool,
+    ) -> Result<ListUpdate, PollFailure> {
+        let unusable = |error| PollFailure { outcome: PollOutcome::Unusable, error };
+        let (answer, (kind, entries)) = self.parse(body).map_err(unusable)?;
+        if self.generation != from_generation
+            && self.generation.is_some_and(|held| answer.generation < held)
+        {
+            // An answer to a superseded poll has brought a newer list in the meantime.
+            return Ok(ListUpdate { kind: ListKind::Delta, entries: Vec::new(), early: before_hold_ended });
         }
         if !answer.reset && self.generation.is_some_and(|held| answer.generation < held) {
-            // What else has passed is not known: the whole list is polled for next.
+            // Other changes may have been missed too: the next poll asks for the whole list.
             self.generation = None;
-            return Err(unusable(io::Error::other("a change to an older list than the one held")));
+            return Err(unusable(io::Error::other("the answer changes an older list than the one held")));
         }
-        let fresh = self.generation != Some(answer.generation);
-        let is_news = fresh && (answer.reset || !listed.is_empty());
+        let is_new_generation = self.generation != Some(answer.generation);
+        let has_update = is_new_generation && (answer.reset || !entries.is_empty());
         self.generation = Some(answer.generation);
-        Ok(News { kind, listed, early: !is_news && before_wait_was_over })
+        Ok(ListUpdate { kind, entries, early: !has_update && before_hold_ended })
     }
 
-    /// Takes what discovery answered to a poll that a reload has superseded, if it is newer than what is held. The lease goes
-    /// by the new place alone.
-    fn take_superseded(&mut self, end: End) {
-        let Ok(Response { body, .. }) = end.result else { return };
-        let Ok((answer, (kind, listed))) = self.parsed(&body) else { return };
+    /// Applies the answer to a poll that a reload has superseded, if it is newer than the list
+    /// held. The lease depends on the new discovery address alone.
+    fn apply_superseded(&mut self, end: PollEnd) {
+        let Ok(PollResponse { body, .. }) = end.result else { return };
+        let Ok((answer, (kind, entries))) = self.parse(&body) else { return };
         if self.generation.is_none_or(|held| answer.generation <= held) {
             return;
         }
-        let (generation, lines) = (answer.generation, listed.len());
-        tracing::info!(generation, lines, ?kind, "discovery told, at the place before");
+        let (generation, lines) = (answer.generation, entries.len());
+        tracing::info!(
+            generation,
+            lines,
+            ?kind,
+            "received a list update from the previous discovery address"
+        );
         self.generation = Some(generation);
-        self.sidecar.listed(kind, &listed);
-        self.servers.keep_only(|target| self.sidecar.takes_work(target));
+        self.sidecar.listed(kind, &entries);
+        self.servers.keep_only(|endpoint| self.sidecar.takes_work(endpoint));
     }
 
-    /// An answer in the core's terms; one by which the list held would be lost is refused.
-    fn parsed(&self, body: &[u8]) -> io::Result<(Answer, (ListKind, Vec<Listed>))> {
+    /// Parses an answer into the core's types. An empty list that would replace a list with
+    /// endpoints is an error.
+    fn parse(&self, body: &[u8]) -> io::Result<(Answer, (ListKind, Vec<Listed>))> {
         let answer: Answer = serde_json::from_slice(body)?;
-        let listed = answer.listed(&self.names).map_err(io::Error::other)?;
-        if answer.reset && listed.1.is_empty() && self.sidecar.has_targets() {
-            return Err(io::Error::other("an empty list in place of one with targets"));
+        let list = answer.listed(&self.names).map_err(io::Error::other)?;
+        if answer.reset && list.1.is_empty() && self.sidecar.has_targets() {
+            return Err(io::Error::other("the list is empty, but the one held has endpoints"));
         }
-        Ok((answer, listed))
+        Ok((answer, list))
     }
 }
 
@@ -328,13 +356,15 @@
 mod tests {
     use super::*;
 
-    /// Guards against: later reasons of an outage that nobody reads of, and a line for each failure of it.
+    /// Guards against two faults: later reasons of an outage that are never logged, and a log line
+    /// for each failed poll of an outage.
     #[test]
-    fn each_reason_of_an_outage_is_logged_once() {
-        let mut last = LastLogged::default();
-        let lines = ["refused", "refused", "silent", "silent", "refused"].map(|why| last.changes_to(why));
-        assert_eq!(lines, [true, false, true, false, true]);
-        assert!(last.ends() && !last.ends());
-        assert!(last.changes_to("refused"), "another outage");
+    fn each_failure_of_an_outage_is_logged_once() {
+        let mut last = OutageLog::default();
+        let logged = ["refused", "refused", "silent", "silent", "refused"]
+            .map(|failure| last.record_failure(failure));
+        assert_eq!(logged, [true, false, true, false, true]);
+        assert!(last.end_outage() && !last.end_outage());
+        assert!(last.record_failure("refused"), "a new outage is logged");
     }
 }
--- a/crates/net/src/list/answer.rs
+++ b/crates/net/src/list/answer.rs
@@ -1,24 +1,24 @@
-//! Discovery's answer, read into the core's terms.
+//! Discovery's JSON answer, and its conversion to the core's types.
 
 use cottonpoint_core::{Lifecycle, Listed, target_id};
 use cottonpoint_decide::*;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Discovery's answer, as it stands in a configuration's `known` too.
+/// An answer of discovery; a configuration's `known` has the same form.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Answer {
     /// The list's version.
     pub generation: u64,
-    /// Whether this is the whole list.
+    /// Whether this is the whole list rather than changes to it.
     #[serde(default)]
     pub reset: bool,
-    instances: Vec<Line>,
+    instances: Vec<Instance>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Line {
+struct Instance {
     instance_id: String,
     host_port: SocketAddr,
     #[serde(default)]
@@ -32,41 +32,41 @@
     started_at_ms: u64,
 }
 
-/// The names that the list uses for zones and machine kinds, in the order of the settings.
+/// The names of zones and machine kinds in lists, in the order of the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Zones.
+    /// The names of zones.
     pub zones: Vec<String>,
-    /// Machine kinds.
+    /// The names of machine kinds.
     pub kinds: Vec<String>,
 }
 
-fn position(names: &[String], name: &str) -> u16 {
-    let at = names.iter().position(|n| n == name);
-    at.and_then(|i| u16::try_from(i).ok()).unwrap_or(u16::MAX)
+fn index_of(names: &[String], name: &str) -> u16 {
+    let index = names.iter().position(|n| n == name);
+    index.and_then(|i| u16::try_from(i).ok()).unwrap_or(u16::MAX)
 }
 
 impl Answer {
-    /// The answer in the core's terms; an unknown lifecycle makes it a bad one.
+    /// Converts the answer to the core's types. An unknown lifecycle is an error.
     pub fn listed(&self, names: &Names) -> Result<(ListKind, Vec<Listed>), String> {
         let kind = if self.reset { ListKind::Full } else { ListKind::Delta };
-        let lines = self.instances.iter().map(|line| {
-            let lifecycle = match line.lifecycle.as_str() {
+        let listed = self.instances.iter().map(|instance| {
+            let lifecycle = match instance.lifecycle.as_str() {
                 "active" => Lifecycle::Active,
                 "leaving" => Lifecycle::Leaving,
                 "left" => Lifecycle::Left,
                 other => return Err(format!("unknown lifecycle {other}")),
             };
             Ok(Listed {
-                id: target_id(&line.instance_id),
-                address: line.host_port,
-                zone: ZoneId(position(&names.zones, &line.zone)),
-                cell: CellId(line.cell),
-                kind: KindId(position(&names.kinds, &line.machine_type)),
+                id: target_id(&instance.instance_id),
+                address: instance.host_port,
+                zone: ZoneId(index_of(&names.zones, &instance.zone)),
+                cell: CellId(instance.cell),
+                kind: KindId(index_of(&names.kinds, &instance.machine_type)),
                 lifecycle,
-                started_at_ms: line.started_at_ms,
+                started_at_ms: instance.started_at_ms,
             })
         });
-        Ok((kind, lines.collect::<Result<_, _>>()?))
+        Ok((kind, listed.collect::<Result<_, _>>()?))
     }
 }
--- a/crates/net/src/list/evidence.rs
+++ b/crates/net/src/list/evidence.rs
@@ -1,6 +1,6 @@
-//! What the end of a poll says about discovery.
+//! Maps the end of a poll to evidence about discovery.
 
-use super::schedule::{Outcome, REJECTED_WITHIN};
+use super::schedule::{PollOutcome, REJECTION_TIME};
 use crate::origin::Origin;
 use cottonpoint_core::PollEvent;
 use std::io::{Error, ErrorKind};
@@ -9,40 +9,43 @@
 #[cfg(test)]
 mod tests;
 
-/// How a connect ended that failed. Only what the other side says counts against discovery, and a silence for the whole
-/// time-out; an error of the way does so once it has lasted as long (`super::poll`).
-pub(super) fn connect_outcome(why: &Error) -> Outcome {
-    match Origin::of(why) {
-        Origin::Peer if why.kind() == ErrorKind::ConnectionRefused => Outcome::Refused,
-        Origin::Peer => Outcome::Failed,
-        Origin::Silence => Outcome::Unconnected,
-        Origin::Path => Outcome::PathFailed,
-        Origin::Process => Outcome::NotMade,
+/// The outcome of a poll whose connect failed. Only a response from the other side, or silence for
+/// the whole connect timeout, counts against discovery; a path error does so once it has persisted
+/// for that time (`super::poll`).
+pub(super) fn connect_outcome(error: &Error) -> PollOutcome {
+    match Origin::of(error) {
+        Origin::Peer if error.kind() == ErrorKind::ConnectionRefused => PollOutcome::Refused,
+        Origin::Peer => PollOutcome::Failed,
+        Origin::Timeout => PollOutcome::Unconnected,
+        Origin::Path => PollOutcome::PathFailed,
+        Origin::Local => PollOutcome::NotMade,
     }
 }
 
-/// How a poll ended whose connection failed under it; `silent` where nothing was heard in time.
-pub(super) fn exchange_outcome(why: &Error, silent: Outcome) -> Outcome {
-    match Origin::of(why) {
-        Origin::Peer => Outcome::Failed,
-        Origin::Silence => silent,
-        Origin::Path | Origin::Process => Outcome::PathFailed,
+/// The outcome of a poll whose connection failed during the exchange; `on_timeout` applies where
+/// nothing was received in time.
+pub(super) fn exchange_outcome(error: &Error, on_timeout: PollOutcome) -> PollOutcome {
+    match Origin::of(error) {
+        Origin::Peer => PollOutcome::Failed,
+        Origin::Timeout => on_timeout,
+        Origin::Path | Origin::Local => PollOutcome::PathFailed,
     }
 }
 
 /// A failed poll as evidence for the lease on the list.
-pub(super) fn evidence(outcome: Outcome, took: Duration) -> PollEvent {
+pub(super) fn evidence(outcome: PollOutcome, took: Duration) -> PollEvent {
     match outcome {
-        Outcome::TurnedAway if took < REJECTED_WITHIN => PollEvent::Rejected,
-        Outcome::TurnedAway => PollEvent::TurnedAway,
-        Outcome::Refused | Outcome::Unconnected => PollEvent::Unreachable,
-        Outcome::Silent { .. } => PollEvent::Silent,
-        // Where discovery is down, a call may end with a reset in place of 503 (the protocol page).
-        Outcome::Failed if took >= REJECTED_WITHIN => PollEvent::TurnedAway,
-        Outcome::Failed
-        | Outcome::PathFailed
-        | Outcome::Unusable
-        | Outcome::NotMade
-        | Outcome::Answered { .. } => PollEvent::Broken,
+        PollOutcome::TurnedAway if took < REJECTION_TIME => PollEvent::Rejected,
+        PollOutcome::TurnedAway => PollEvent::TurnedAway,
+        PollOutcome::Refused | PollOutcome::Unconnected => PollEvent::Unreachable,
+        PollOutcome::Silent { .. } => PollEvent::Silent,
+        // Where discovery is down, a poll may end with a reset in place of 503 (the protocol
+        // specification).
+        PollOutcome::Failed if took >= REJECTION_TIME => PollEvent::TurnedAway,
+        PollOutcome::Failed
+        | PollOutcome::PathFailed
+        | PollOutcome::Unusable
+        | PollOutcome::NotMade
+        | PollOutcome::Answered { .. } => PollEvent::Broken,
     }
 }
--- a/crates/net/src/list/poll.rs
+++ b/crates/net/src/list/poll.rs
@@ -1,7 +1,8 @@
-//! One poll of discovery: connects where it has to, asks, and reads the answer. It owns all that it needs.
+//! One poll of discovery: connects where necessary, sends the request and reads the answer. A poll
+//! owns all that it needs, so it can outlive a change of the discovery address.
 
 use super::evidence::{connect_outcome, exchange_outcome};
-use super::schedule::{Outcome, Schedule, WHOLE_ANSWER, again_soon};
+use super::schedule::{ANSWER_COMPLETION_TIMEOUT, PollOutcome, Schedule, local_fault_backoff};
 use crate::within;
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
@@ -16,28 +17,29 @@
 use std::task::{Context, Poll as Progress};
 use std::time::{Duration, Instant};
 
-const LIST_LIMIT: usize = 4 << 20;
-/// Discovery is down, or a poll waited too long in its queue (the protocol page).
-const UNAVAILABLE: u16 = 503;
+const MAX_LIST_BYTES: usize = 4 << 20;
+/// Discovery is down, or the poll waited too long in its queue (the protocol specification).
+const STATUS_UNAVAILABLE: u16 = 503;
 
-/// Why a poll came to nothing.
-pub(super) struct Failure {
-    /// How it ended.
-    pub outcome: Outcome,
-    /// What the system or discovery said.
-    pub why: io::Error,
+/// Why a poll failed.
+pub(super) struct PollFailure {
+    /// How the poll ended.
+    pub outcome: PollOutcome,
+    /// The error of the system, or discovery's answer.
+    pub error: io::Error,
 }
 
-impl Failure {
-    /// An answer that could not be read; `silent` stands for one that did not come to its end.
-    fn of(fault: Fault, silent: Outcome) -> Failure {
+impl PollFailure {
+    /// Classifies a response that could not be read; `on_timeout` is the outcome for one that was
+    /// not completed in time.
+    fn of(fault: Fault, on_timeout: PollOutcome) -> PollFailure {
         let outcome = match fault {
-            Fault::Broken => Outcome::Failed,
-            Fault::ConnectionFailed => Outcome::PathFailed,
-            Fault::Stalled => silent,
-            Fault::Malformed(_) | Fault::HeadTooLong | Fault::BodyTooLong => Outcome::Unusable,
+            Fault::Broken => PollOutcome::Failed,
+            Fault::ConnectionFailed => PollOutcome::PathFailed,
+            Fault::Stalled => on_timeout,
+            Fault::Malformed(_) | Fault::HeadTooLong | Fault::BodyTooLong => PollOutcome::Unusable,
         };
-        Failure { outcome, why: io::Error::other(fault.to_string()) }
+        PollFailure { outcome, error: io::Error::other(fault.to_string()) }
     }
 }
 
@@ -47,143 +49,155 @@
     buffer: Buffer,
 }
 
-/// What is asked of discovery, and under which schedule.
-pub(super) struct Request {
-    /// Where it is.
+/// The parameters of one poll.
+pub(super) struct PollRequest {
+    /// The address of discovery.
     pub address: SocketAddr,
-    /// The version held; `None` asks for the whole list.
+    /// The list version held; `None` asks for the whole list.
     pub generation: Option<u64>,
-    /// How long it waits for news.
-    pub hold: Duration,
-    /// How long connection and answer may take.
+    /// How long discovery may hold the poll open while it has no update.
+    pub hold_time: Duration,
+    /// Bounds the time for the connection and the answer.
     pub schedule: Schedule,
-    /// Whom to tell that it is sent.
+    /// Is notified when the poll is sent.
     pub sidecar: Rc<Sidecar>,
-    /// Draws the pauses between connects.
+    /// Source of the jitter between connects.
     pub random: fastrand::Rng,
 }
 
-/// The body of discovery's answer, and the connection, if it may be used again.
-pub(super) struct Response {
+/// The body of discovery's answer, and its connection.
+pub(super) struct PollResponse {
     /// The answer's body.
     pub body: Vec<u8>,
-    /// For the next poll.
+    /// The connection for the next poll, if it can be reused.
     pub connection: Option<Connection>,
 }
 
 /// How a poll ended.
-pub(super) struct End {
-    /// What came of it.
-    pub result: Result<Response, Failure>,
-    /// From the beginning of its connect, or of its sending on a connection that was kept.
+pub(super) struct PollEnd {
+    /// The answer, or why there is none.
+    pub result: Result<PollResponse, PollFailure>,
+    /// The time since the start of the last connect (of the first one, where path errors persisted for
+    /// the whole connect timeout), or since the request was sent on a connection that was reused.
     pub took: Duration,
-    /// How long it was to wait for news.
-    pub hold: Duration,
-    /// The version that it asked from.
-    pub asked_from: Option<u64>,
+    /// The hold time that the poll asked for.
+    pub hold_time: Duration,
+    /// The list version that the poll asked for changes from.
+    pub from_generation: Option<u64>,
 }
 
-/// A poll under way.
+/// A poll in flight.
 pub(super) struct Poll {
-    end: Pin<Box<dyn Future<Output = End>>>,
+    end: Pin<Box<dyn Future<Output = PollEnd>>>,
     sent: Rc<Cell<bool>>,
 }
 
 impl Poll {
-    /// Begins one, on the connection that was kept, if any.
-    pub fn begin(request: Request, kept: Option<Connection>) -> Poll {
-        let (hold, asked_from) = (request.hold, request.generation);
-        let (begun, sent) = (Cell::new(Instant::now()), Rc::new(Cell::new(false)));
-        let is_sent = sent.clone();
+    /// Starts a poll, on the idle connection if there is one.
+    pub fn start(request: PollRequest, idle_connection: Option<Connection>) -> Poll {
+        let (hold_time, from_generation) = (request.hold_time, request.generation);
+        let (started_at, sent) = (Cell::new(Instant::now()), Rc::new(Cell::new(false)));
+        let sent_flag = sent.clone();
         let poll = async move {
-            let result = request.make(kept, &begun, &is_sent).await;
-            End { result, took: begun.get().elapsed(), hold, asked_from }
+            let result = request.run(idle_connection, &started_at, &sent_flag).await;
+            PollEnd { result, took: started_at.get().elapsed(), hold_time, from_generation }
         };
         Poll { end: poll.boxed_local(), sent }
     }
 
-    /// Whether discovery has been asked, and may answer.
+    /// Whether the request has been sent, so that discovery may answer it.
     pub fn is_sent(&self) -> bool {
         self.sent.get()
     }
 }
 
 impl Future for Poll {
-    type Output = End;
+    type Output = PollEnd;
 
-    fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Progress<End> {
+    fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Progress<PollEnd> {
         self.end.as_mut().poll(context)
     }
 }
 
-impl Request {
-    async fn make(
+impl PollRequest {
+    async fn run(
         mut self,
-        kept: Option<Connection>,
-        begun: &Cell<Instant>,
+        idle_connection: Option<Connection>,
+        started_at: &Cell<Instant>,
         sent: &Cell<bool>,
-    ) -> Result<Response, Failure> {
-        let mut connection = match kept {
+    ) -> Result<PollResponse, PollFailure> {
+        let mut connection = match idle_connection {
             Some(connection) => connection,
-            None => self.connect(begun).await?,
+            None => self.connect(started_at).await?,
         };
         sent.set(true);
         self.sidecar.polled(PollEvent::Connected);
-        let (status, body, keep) = self.exchange(&mut connection, begun.get()).await?;
+        let (status, body, reusable) = self.exchange(&mut connection, started_at.get()).await?;
         if status != 200 {
-            let outcome = if status == UNAVAILABLE { Outcome::TurnedAway } else { Outcome::Unusable };
-            return Err(Failure { outcome, why: io::Error::other(format!("status {status}")) });
+            let outcome =
+                if status == STATUS_UNAVAILABLE { PollOutcome::TurnedAway } else { PollOutcome::Unusable };
+            return Err(PollFailure { outcome, error: io::Error::other(format!("status {status}")) });
         }
-        let keep = keep && connection.buffer.is_empty();
-        Ok(Response { body, connection: Some(connection).filter(|_| keep) })
+        let reusable = reusable && connection.buffer.is_empty();
+        Ok(PollResponse { body, connection: Some(connection).filter(|_| reusable) })
     }
 
-    /// Connects. An error of the way may come for a moment: the connect is made again until it has lasted for the whole
-    /// time-out, and only then discovery could not be reached. `begun` is set anew with each, so that what is measured of the
-    /// poll is discovery's time alone.
-    async fn connect(&mut self, begun: &Cell<Instant>) -> Result<Connection, Failure> {
+    /// Connects. A path error may be transient: the connect is repeated until it has failed for the
+    /// whole connect timeout, and only then discovery counts as unreachable. `started_at` is reset
+    /// with each connect, so that the measured duration of the poll is discovery's alone.
+    async fn connect(&mut self, started_at: &Cell<Instant>) -> Result<Connection, PollFailure> {
         let timeout = self.schedule.connect_timeout();
-        let first = begun.get();
+        let first_started_at = started_at.get();
         loop {
             let connected = within(timeout, Async::<TcpStream>::connect(self.address)).await;
-            let why = match connected.and_then(|stream| stream.get_ref().set_nodelay(true).map(|()| stream))
-            {
-                Ok(stream) => return Ok(Connection { stream, buffer: Buffer::default() }),
-                Err(why) => why,
-            };
-            let outcome = connect_outcome(&why);
-            if outcome != Outcome::PathFailed {
-                return Err(Failure { outcome, why });
+            let error =
+                match connected.and_then(|stream| stream.get_ref().set_nodelay(true).map(|()| stream)) {
+                    Ok(stream) => return Ok(Connection { stream, buffer: Buffer::default() }),
+                    Err(error) => error,
+                };
+            let outcome = connect_outcome(&error);
+            if outcome != PollOutcome::PathFailed {
+                return Err(PollFailure { outcome, error });
             }
             self.sidecar.counts().poll_failed(outcome.name());
-            let pause = again_soon(self.random.f64());
-            if first.elapsed() + pause >= timeout {
-                begun.set(first);
-                return Err(Failure { outcome: Outcome::Unconnected, why });
+            let delay = local_fault_backoff(self.random.f64());
+            if first_started_at.elapsed() + delay >= timeout {
+                started_at.set(first_started_at);
+                return Err(PollFailure { outcome: PollOutcome::Unconnected, error });
             }
-            tracing::debug!(failure = %why, "a connect to discovery failed on its way, and is made again");
-            Timer::after(pause).await;
-            begun.set(Instant::now());
+            tracing::debug!(failure = %error, "connecting to discovery failed on the network path; retrying");
+            Timer::after(delay).await;
+            started_at.set(Instant::now());
         }
     }
 
-    /// Sends the poll, and reads the answer.
-    async fn exchange(&self, c: &mut Connection, begun: Instant) -> Result<(u16, Vec<u8>, bool), Failure> {
-        let (address, hold) = (self.address, self.hold);
-        let query = self.generation.map(|g| format!("?from={g}&hold_ms={}", hold.as_millis()));
+    /// Sends the request and reads the answer.
+    async fn exchange(
+        &self,
+        connection: &mut Connection,
+        started_at: Instant,
+    ) -> Result<(u16, Vec<u8>, bool), PollFailure> {
+        let (address, hold_time) = (self.address, self.hold_time);
+        let query = self.generation.map(|from| format!("?from={from}&hold_ms={}", hold_time.as_millis()));
         let query = query.unwrap_or_default();
-        tracing::debug!(generation = self.generation, "asks discovery");
+        tracing::debug!(generation = self.generation, "polling discovery");
         let request = format!("GET /registry/instances{query} HTTP/1.1\r\nHost: {address}\r\n\r\n");
         let exchange = async {
-            crate::write_all(&c.stream, request.as_bytes()).await?;
-            Ok(crate::read_answer(&mut c.buffer, &mut c.stream, LIST_LIMIT, WHOLE_ANSWER).await)
+            crate::write_all(&connection.stream, request.as_bytes()).await?;
+            Ok(crate::read_response(
+                &mut connection.buffer,
+                &mut connection.stream,
+                MAX_LIST_BYTES,
+                ANSWER_COMPLETION_TIMEOUT,
+            )
+            .await)
         };
-        let silent = Outcome::Silent { waits: !hold.is_zero() };
-        let timeout = self.schedule.answer_timeout(hold, begun.elapsed());
+        let on_timeout = PollOutcome::Silent { waits: !hold_time.is_zero() };
+        let timeout = self.schedule.answer_timeout(hold_time, started_at.elapsed());
         match within(timeout, exchange).await {
-            Ok(Ok((_, status, body, keep))) => Ok((status, body, keep)),
-            Ok(Err(fault)) => Err(Failure::of(fault, silent)),
-            Err(why) => Err(Failure { outcome: exchange_outcome(&why, silent), why }),
+            Ok(Ok((_, status, body, reusable))) => Ok((status, body, reusable)),
+            Ok(Err(fault)) => Err(PollFailure::of(fault, on_timeout)),
+            Err(error) => Err(PollFailure { outcome: exchange_outcome(&error, on_timeout), error }),
         }
     }
 }
--- a/crates/net/src/origin.rs
+++ b/crates/net/src/origin.rs
@@ -1,37 +1,37 @@
-//! Whom a failed call on a connection speaks of. What goes wrong in this process, or on the way for a moment, is no
-//! knowledge of the other side.
+//! Which side an I/O error on a connection comes from. A fault of this process, or a transient one
+//! on the path, says nothing about the peer.
 
 use std::io::{Error, ErrorKind};
 
 #[cfg(test)]
 mod tests;
 
-/// Whom a failed call speaks of.
+/// The side that an I/O error comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
-    /// The other side, or its host: it refused, reset or closed.
+    /// The peer or its host: it refused, reset or closed the connection.
     Peer,
-    /// The way to it: the error may come for a moment, and stays for as long as the host is unreachable (ETIMEDOUT,
-    /// EHOSTUNREACH).
+    /// The network path: the error may be transient, and persists for as long as the host is
+    /// unreachable (ETIMEDOUT, EHOSTUNREACH).
     Path,
-    /// Nobody: nothing was heard until this process's own time-out.
-    Silence,
+    /// Neither side: nothing was received until this process's own timeout.
+    Timeout,
     /// This process or its machine: no port, buffer, descriptor, memory or route.
-    Process,
+    Local,
 }
 
 impl Origin {
-    /// Whom that error speaks of. A time-out of this process's own has no number of the system's.
-    pub(crate) fn of(why: &Error) -> Origin {
-        match why.kind() {
+    /// Classifies an error. A timeout of this process itself has no OS error code.
+    pub(crate) fn of(error: &Error) -> Origin {
+        match error.kind() {
             ErrorKind::ConnectionRefused
             | ErrorKind::ConnectionReset
             | ErrorKind::ConnectionAborted
             | ErrorKind::BrokenPipe
             | ErrorKind::WriteZero => Origin::Peer,
-            ErrorKind::TimedOut if why.raw_os_error().is_none() => Origin::Silence,
+            ErrorKind::TimedOut if error.raw_os_error().is_none() => Origin::Timeout,
             ErrorKind::TimedOut | ErrorKind::HostUnreachable => Origin::Path,
-            _ => Origin::Process,
+            _ => Origin::Local,
         }
     }
 }
--- a/crates/net/src/servers/send.rs
+++ b/crates/net/src/servers/send.rs
@@ -74,11 +74,11 @@
 /// endpoint.
 fn not_connected(why: &io::Error) -> Outcome {
     match Origin::of(why) {
-        Origin::Process => {
+        Origin::Local => {
             tracing::debug!(%why, "no connection to an endpoint, by a fault of this process");
             Outcome::Moot
         }
-        Origin::Peer | Origin::Path | Origin::Silence => Outcome::ConnectFailed,
+        Origin::Peer | Origin::Path | Origin::Timeout => Outcome::ConnectFailed,
     }
 }
 
@@ -164,7 +164,7 @@
         written();
         let mut stream = &*connection.stream;
         let buffer = &mut connection.buffer;
-        let answer = crate::read_answer(buffer, &mut stream, http::BODY_LIMIT, WHOLE_WITHIN).await;
+        let answer = crate::read_response(buffer, &mut stream, http::BODY_LIMIT, WHOLE_WITHIN).await;
         let (head, status, body, keep) = match answer {
             Ok(answer) => answer,
             Err(Fault::Broken | Fault::ConnectionFailed) => return failed(Outcome::Reset),
