--- a/crates/net/src/clients/close.rs
+++ b/crates/net/src/clients/close.rs
@@ -1,4 +1,4 @@
-//! Close: the one way in which a connection ends here, whoever came on it and whatever it ends for.
+//! Closing connections: all connections that the sidecar accepts end in the same way.
 
 use super::{Clients, Stage};
 use crate::within;
@@ -7,35 +7,38 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-/// After its last answer a connection is read on for this long, so that the answer is not reset away.
+/// After its last response a connection is read for this long before it is closed, so that a reset
+/// does not destroy the response.
 pub const LINGER: Duration = Duration::from_millis(700);
-/// What is read to be thrown away goes here.
-const SCRATCH: usize = 4096;
+/// The size of the buffer for data to discard.
+const DISCARD_BYTES: usize = 4096;
 
-/// Half-close, drain, close: nothing is written any more, and what still comes is read and thrown away until the
-/// other side closes too, so long at most. Closing over unread bytes resets the connection, and the reset eats
-/// whatever the other side has not read.
+/// Closes gracefully: shuts down the write side, then reads and discards data until the other side
+/// closes too, or for `limit` at most. Closing with unread data resets the connection, and the
+/// reset destroys what the other side has not read yet.
 pub async fn close(stream: &Async<TcpStream>, limit: Duration) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     let mut reader = stream;
-    let drain = async {
-        // Not in the future itself: each connection would hold it from its first byte on.
-        let mut scratch = vec![0; SCRATCH];
-        while reader.read(&mut scratch).await? > 0 {
-            future::yield_now().await; // Who sends without end has no more of the thread than others.
+    let drained = async {
+        // On the heap rather than in the future itself, where each connection would hold it from
+        // its first byte on.
+        let mut discarded = vec![0; DISCARD_BYTES];
+        while reader.read(&mut discarded).await? > 0 {
+            future::yield_now().await; // A client that never stops sending gets no more than its share of the thread.
         }
         Ok(())
     };
-    let _ = within(limit, drain).await;
+    let _ = within(limit, drained).await;
 }
 
 impl Clients {
-    /// Ends a client's connection. What is read from here on is not served: the client sees that it was not, and
-    /// sends it again elsewhere.
-    pub(super) async fn end(&self, stream: &Async<TcpStream>, answered: Option<Instant>) {
-        // Where places are short, one with no answer under way gives its place up at once: a reset eats nothing.
-        let owed = answered.is_some_and(|at| at.elapsed() < LINGER);
-        let limit = if owed || !self.short.get() { LINGER } else { Duration::ZERO };
-        self.at_stage(Stage::Ending, close(stream, limit)).await;
+    /// Ends a client's connection. What is read from here on is not served: the client sees that,
+    /// and sends the request again elsewhere.
+    pub(super) async fn close_client(&self, stream: &Async<TcpStream>, last_response: Option<Instant>) {
+        // Where connections are scarce, one without a recent response is closed at once: a reset
+        // destroys nothing there.
+        let recent_response = last_response.is_some_and(|written_at| written_at.elapsed() < LINGER);
+        let limit = if recent_response || !self.scarce.get() { LINGER } else { Duration::ZERO };
+        self.run_evictable(Stage::Closing, close(stream, limit)).await;
     }
 }
--- a/crates/net/src/clients/flow.rs
+++ b/crates/net/src/clients/flow.rs
@@ -1,7 +1,8 @@
-//! The stages of a flow: a whole request is answered right here, or taken in, routed, forwarded and relayed.
+//! Processes one complete request: answers it locally, or accepts it, has it routed, sends its
+//! attempts and returns the response.
 
-use super::caller::Caller;
-use super::{Clients, Reply, TakenIn, take_in};
+use super::monitor::ClientMonitor;
+use super::{AcceptedRequest, Clients, Reply, accept_request};
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http::Head;
@@ -10,13 +11,14 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// The answer needs this long to travel: it sets out so much before the client gives up.
-const TRAVEL: Duration = Duration::from_millis(5);
-/// A flow that the balancer has not settled this long after its due is failed all the same.
-const OVERDUE: Duration = Duration::from_millis(20);
+/// The time that a response needs to reach the client: it is sent this long before the client's
+/// timeout.
+const RESPONSE_TRAVEL_TIME: Duration = Duration::from_millis(5);
+/// A request that the balancer has not settled this long after its deadline fails all the same.
+const OVERDUE_GRACE: Duration = Duration::from_millis(20);
 
 impl Clients {
-    /// The answer to a whole request; `None` when its client has left.
+    /// Returns the response to a complete request; `None` where its client has disconnected.
     pub(super) async fn answer(
         &self,
         stream: &Async<TcpStream>,
@@ -25,63 +27,70 @@
         body: Vec<u8>,
     ) -> Option<Reply> {
         if head.line[1] == "/health/ready" {
-            let ready = !self.leaving() && self.stop.get().is_none();
+            let ready = !self.is_draining() && self.stop.get().is_none();
             return Some(match ready && self.sidecar.has_targets() {
-                true => Reply::plain(200, "ready"),
-                false => Reply::plain(503, "not ready"),
+                true => Reply::text(200, "ready"),
+                false => Reply::text(503, "not ready"),
             });
         }
-        let taken = take_in(&self.platform.borrow(), &head, body);
-        let taken = match taken {
-            Ok(taken) => taken,
+        let accepted = accept_request(&self.platform.borrow(), &head, body);
+        let accepted = match accepted {
+            Ok(accepted) => accepted,
             Err(reply) => return Some(reply),
         };
-        // A flow needs a connection to a target: where none may be left, trying again does no harm.
-        let full = self.ids.borrow().len() >= self.servers.bound();
-        let full = full.then(|| self.platform.borrow().max_retry_after);
-        if let Some(retry_after) = full.or_else(|| self.leaves_too_few().map(Some)) {
-            let reply = Reply::fixed(FixedResponse::Refused { retry_after });
-            self.count(&taken.class_name, Some(&reply));
+        // A request needs a connection to an endpoint: where none may be left, a client retry does
+        // no harm.
+        let at_limit = self.open_ids.borrow().len() >= self.servers.max_connections();
+        let at_limit = at_limit.then(|| self.platform.borrow().max_retry_after);
+        if let Some(retry_after) = at_limit.or_else(|| self.retry_after_to_spare_connections().map(Some)) {
+            let reply = Reply::local(FixedResponse::Refused { retry_after });
+            self.count_final_response(&accepted.class_name, Some(&reply));
             return Some(reply);
         }
-        if !self.ids.borrow_mut().insert(taken.id.clone()) {
-            return Some(Reply::plain(409, "the id is that of an open request"));
+        if !self.open_ids.borrow_mut().insert(accepted.id.clone()) {
+            return Some(Reply::text(409, "the id is that of an open request"));
         }
-        let reply = self.follow(&taken, stream, buffer).await;
-        self.ids.borrow_mut().remove(&taken.id);
-        self.count(&taken.class_name, reply.as_ref());
+        let reply = self.process(&accepted, stream, buffer).await;
+        self.open_ids.borrow_mut().remove(&accepted.id);
+        self.count_final_response(&accepted.class_name, reply.as_ref());
         reply
     }
 
-    /// A request is over with no answer: nobody is there for one, or the guard has it answered all the same.
-    fn close_unanswered(&self, taken: &TakenIn, gone: bool) -> Option<Reply> {
-        match self.sidecar.guard().may_close_unanswered(!gone) {
+    /// Ends a request without a response, because its client has disconnected. Where the guard
+    /// finds that the client still waits, the request is answered as failed.
+    fn close_unanswered(&self, accepted: &AcceptedRequest, client_gone: bool) -> Option<Reply> {
+        match self.sidecar.guard().may_close_unanswered(!client_gone) {
             Ok(()) => {
-                tracing::debug!(id = taken.id, class = taken.class_name, "closed: its client has gone");
+                tracing::debug!(
+                    id = accepted.id,
+                    class = accepted.class_name,
+                    "client disconnected; closing without a response"
+                );
                 None
             }
             Err(violation) => {
                 let rule = violation.name();
                 tracing::error!(
-                    id = taken.id,
-                    class = taken.class_name,
+                    id = accepted.id,
+                    class = accepted.class_name,
                     rule,
-                    "a rule was about to be broken"
+                    "guard denied closing the connection without a response; answering as failed"
                 );
-                Some(Reply::fixed(FixedResponse::Failed))
+                Some(Reply::local(FixedResponse::Failed))
             }
         }
     }
 
-    /// While only kept connections are in use before a stop: when to come back, for a request that leaves too few
-    /// of them free.
-    fn leaves_too_few(&self) -> Option<Duration> {
-        let (free, busy) = self.in_use();
+    /// Returns a retry delay if the request would leave too few client connections free. Applies
+    /// before a stop only, while existing connections are served and no new ones arrive.
+    fn retry_after_to_spare_connections(&self) -> Option<Duration> {
+        let (free, busy) = self.connection_counts();
         self.stop.get()?.refuses(self.sidecar.clock().now(), free, busy)
     }
 
-    /// Counts a flow's final answer for its class; one whose client has gone counts as failed.
-    fn count(&self, class: &str, reply: Option<&Reply>) {
+    /// Counts the final response to a request for its class; a request whose client has
+    /// disconnected counts as failed.
+    fn count_final_response(&self, class: &str, reply: Option<&Reply>) {
         let fate = match reply.map(|r| r.status) {
             Some(200..=299) => Fate::Fulfilled,
             Some(429 | 503) => Fate::Throttled,
@@ -90,71 +99,75 @@
         self.sidecar.counts().ended_as(class, fate);
     }
 
-    /// Takes a flow through its stages.
-    async fn follow(
+    /// Processes an accepted request until it is answered.
+    async fn process(
         &self,
-        taken: &TakenIn,
+        accepted: &AcceptedRequest,
         stream: &Async<TcpStream>,
         buffer: &mut Buffer,
     ) -> Option<Reply> {
         let clock = self.sidecar.clock();
-        let class = taken.class_name.as_str();
-        let due = clock.now() + taken.left.saturating_sub(TRAVEL);
-        let due = self.stop.get().map_or(due, |stop| stop.due(due));
-        let flow = self.sidecar.admit(NewFlow { class: taken.class, tenant: taken.tenant, due });
-        let caller = Caller::new(stream, buffer);
-        // Whoever has gone gets nothing more begun, also where its close and the word to send come at once.
-        let waits = || {
-            let gone = caller.has_gone();
-            if gone {
+        let class = accepted.class_name.as_str();
+        let deadline = clock.now() + accepted.time_left.saturating_sub(RESPONSE_TRAVEL_TIME);
+        let deadline = self.stop.get().map_or(deadline, |stop| stop.due(deadline));
+        let flow =
+            self.sidecar.admit(NewFlow { class: accepted.class, tenant: accepted.tenant, due: deadline });
+        let monitor = ClientMonitor::new(stream, buffer);
+        // Nothing new is started for a client that has disconnected, even if its close and the
+        // decision to send arrive at the same time.
+        let client_waits = || {
+            let client_gone = monitor.has_disconnected();
+            if client_gone {
                 flow.depart();
             }
-            !gone
+            !client_gone
         };
-        let stages = async {
+        let attempts = async {
             loop {
                 match flow.route().await {
                     Step::Attempt(attempt) => {
                         let until = clock.instant(attempt.until);
-                        let written = || self.sidecar.counts().relayed(class);
-                        let (outcome, report, served) =
-                            self.servers.send(&attempt, until, &taken.outgoing, waits, written).await;
+                        let on_written = || self.sidecar.counts().relayed(class);
+                        let (outcome, report, response) = self
+                            .servers
+                            .send(&attempt, until, &accepted.outgoing, client_waits, on_written)
+                            .await;
                         let endpoint = attempt.target.address;
-                        tracing::debug!(id = taken.id, class, %endpoint, ?outcome, "an attempt has ended");
+                        tracing::debug!(id = accepted.id, class, %endpoint, ?outcome, "attempt ended");
                         if attempt.book(outcome, report) {
-                            return Some(Reply::served(served));
+                            return Some(Reply::from_endpoint(response));
                         }
                     }
                     Step::Answer(response) => {
                         let suspended = self.sidecar.is_suspended();
                         tracing::debug!(
-                            id = taken.id,
+                            id = accepted.id,
                             class,
                             ?response,
                             suspended,
-                            "answered without an endpoint"
+                            "answered with a local reply"
                         );
-                        return Some(Reply::fixed(response));
+                        return Some(Reply::local(response));
                     }
                     Step::Over => return None,
                 }
             }
         };
         let departure = async {
-            caller.gone().await;
+            monitor.disconnected().await;
             flow.depart();
             future::pending().await
         };
         let overdue = async {
-            Timer::at(clock.instant(due + OVERDUE)).await;
+            Timer::at(clock.instant(deadline + OVERDUE_GRACE)).await;
             flow.depart();
-            Some(Reply::fixed(FixedResponse::Failed))
+            Some(Reply::local(FixedResponse::Failed))
         };
-        let reply = future::or(departure, future::or(stages, overdue)).await;
+        let reply = future::or(departure, future::or(attempts, overdue)).await;
         let reply = match reply {
-            None => self.close_unanswered(taken, caller.has_gone()),
+            None => self.close_unanswered(accepted, monitor.has_disconnected()),
             reply => reply,
         };
-        reply.map(|reply| if caller.has_overrun() { reply.last() } else { reply })
+        reply.map(|reply| if monitor.has_overrun() { reply.closing_connection() } else { reply })
     }
 }
--- a/crates/net/src/clients/mod.rs
+++ b/crates/net/src/clients/mod.rs
@@ -1,15 +1,15 @@
-//! Clients: the listener, their connections, and the requests read from them.
+//! Clients: the listener, the connections, and the requests read from them.
 
-mod caller;
 mod close;
+mod eviction;
 mod flow;
+mod monitor;
 mod relay;
-mod room;
 mod take_in;
 
 pub use close::{LINGER, close};
 pub use relay::Reply;
-pub use take_in::{TakenIn, take_in};
+pub use take_in::{AcceptedRequest, accept_request};
 
 use crate::servers::Servers;
 use crate::within;
@@ -19,8 +19,10 @@
 use cottonpoint_codec::http::{self, Fault, Framing, Head};
 use cottonpoint_core::{Executor, Sidecar, Stop};
 use cottonpoint_settings::Platform;
+use eviction::{
+    ConnectionGuard, DRAIN_INTERVAL, EVICT_AT_MAXIMUM, EVICT_EARLY, EVICT_IN_DRAIN, Evictable, Stage,
+};
 use futures_lite::future;
-use room::{AT_BOUND, Closable, DRAIN, DRAIN_EVERY, EARLY, Open, Stage};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashSet};
 use std::io;
@@ -28,77 +30,78 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A connection's first request must be whole within this time, and any later one within the same time from
-/// its first byte: nobody holds a place longer without an answer or a close.
-const REQUEST_WITHIN: Duration = Duration::from_millis(2400);
-/// An answer that the client does not take for so long is given up.
-const SLOW_READER: Duration = Duration::from_secs(5);
+/// The first request of a connection must be complete within this time, and each later one within
+/// the same time from its first byte: no client occupies a connection longer without a response or
+/// a close.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2400);
+/// The time after which writing a response fails if the client does not read it.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// A connection without a request is closed after this time.
-const IDLE: Duration = Duration::from_secs(120);
-/// A body may come as slowly as this (the operators' page: a client sends a body at 64 kB a second), halved
-/// for slack, and given this much more to begin.
-const BODY_RATE: f64 = 32_768.0;
-const BODY_BEGINS: Duration = Duration::from_millis(500);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
+/// The minimum rate of a body in bytes per second: half of the 64 kB a second at which clients send
+/// bodies (the deployment's requirements), for slack. A body has this much more time to start.
+const MIN_BODY_RATE: f64 = 32_768.0;
+const BODY_START_TIME: Duration = Duration::from_millis(500);
 
-/// How long a body of that framing may take to come whole, once its head is in.
-fn body_time(framing: Framing) -> Duration {
+/// The time for a body of that framing to arrive completely after its head.
+fn body_timeout(framing: Framing) -> Duration {
     let length = match framing {
         Framing::Length(n) => n.min(http::BODY_LIMIT),
         Framing::Chunked | Framing::ToEnd => http::BODY_LIMIT,
     };
-    BODY_BEGINS + Duration::from_secs_f64(length as f64 / BODY_RATE)
+    BODY_START_TIME + Duration::from_secs_f64(length as f64 / MIN_BODY_RATE)
 }
 
-/// Pause before accepting is tried again after a fault that may last: doubled from the first to the longest. Those who come
-/// meanwhile wait, and their time runs.
-const ACCEPT_AGAIN_FIRST: Duration = Duration::from_millis(1);
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+/// The delay before accepting is retried after a fault that may persist: it doubles from the first
+/// value to the maximum. Clients that connect meanwhile wait, and their timeouts run.
+const MIN_ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(1);
+const MAX_ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// All that client connections share.
+/// The state shared by all client connections.
 pub struct Clients {
     sidecar: Rc<Sidecar>,
     servers: Rc<Servers>,
     platform: RefCell<Platform>,
     executor: Executor,
-    /// Connections served at most.
-    connections: Cell<usize>,
+    /// The maximum number of open connections.
+    max_connections: Cell<usize>,
     open: Cell<usize>,
-    /// Connections without an open flow, in the order in which they came to their stages.
-    closable: RefCell<BTreeMap<u64, Closable>>,
-    /// The ids of the open flows.
-    ids: RefCell<HashSet<String>>,
-    next: Cell<u64>,
-    /// Whether the last connection that came found no place or no descriptor.
-    short: Cell<bool>,
-    leaving: Cell<bool>,
+    /// The connections without an open request, in the order in which they entered their stages.
+    evictable: RefCell<BTreeMap<u64, Evictable>>,
+    /// The ids of the open requests.
+    open_ids: RefCell<HashSet<String>>,
+    next_id: Cell<u64>,
+    /// Whether the last connection to arrive found no free slot or no descriptor.
+    scarce: Cell<bool>,
+    draining: Cell<bool>,
     stopping: Cell<bool>,
-    /// Set once the process has been told to stop and serves on for a while.
+    /// Set once the process has been told to stop and continues to serve for a while.
     stop: Cell<Option<Stop>>,
     closed: (Sender<()>, Receiver<()>),
     last_call: (Sender<()>, Receiver<()>),
 }
 
 impl Clients {
-    /// No connections yet.
+    /// Creates the state without connections.
     pub fn new(
         sidecar: Rc<Sidecar>,
         servers: Rc<Servers>,
         platform: Platform,
         executor: Executor,
-        connections: usize,
+        max_connections: usize,
     ) -> Rc<Clients> {
         Rc::new(Clients {
             sidecar,
             servers,
             platform: platform.into(),
             executor,
-            connections: Cell::new(connections),
+            max_connections: Cell::new(max_connections),
             open: Cell::new(0),
-            closable: RefCell::default(),
-            ids: RefCell::default(),
-            next: Cell::new(0),
-            short: Cell::new(false),
-            leaving: Cell::new(false),
+            evictable: RefCell::default(),
+            open_ids: RefCell::default(),
+            next_id: Cell::new(0),
+            scarce: Cell::new(false),
+            draining: Cell::new(false),
             stopping: Cell::new(false),
             stop: Cell::new(None),
             closed: async_channel::bounded(1),
@@ -106,77 +109,79 @@
         })
     }
 
-    /// Accepts connections until the last call, and then those that are queued: they have come to this process, and
-    /// closing the listener would reset them. Connections without an open flow make room; one with a flow never does.
+    /// Accepts connections until [`Clients::last_call`], then those that are still queued: they
+    /// have reached this process, and closing the listener would reset them. Connections without an
+    /// open request may be closed to make room; one with an open request never is.
     pub async fn accept(self: Rc<Self>, listener: Async<TcpListener>) {
-        let (mut last, mut pause) = (false, ACCEPT_AGAIN_FIRST);
+        let (mut last_round, mut delay) = (false, MIN_ACCEPT_RETRY_DELAY);
         loop {
-            while self.open.get() >= self.connections.get() {
-                self.short.set(true);
-                self.make_room(&AT_BOUND);
-                future::or(self.one_closed(), accept_again()).await;
+            while self.open.get() >= self.max_connections.get() {
+                self.scarce.set(true);
+                self.evict_one(&EVICT_AT_MAXIMUM);
+                future::or(self.one_closed(), accept_retry_delay()).await;
             }
             match listener.get_ref().accept() {
                 Ok((stream, _)) => {
-                    pause = ACCEPT_AGAIN_FIRST;
-                    self.short.set(false);
-                    if self.open.get() * 10 >= self.connections.get() * 7 {
-                        self.make_room(&EARLY);
+                    delay = MIN_ACCEPT_RETRY_DELAY;
+                    self.scarce.set(false);
+                    if self.open.get() * 10 >= self.max_connections.get() * 7 {
+                        self.evict_one(&EVICT_EARLY);
                     }
-                    self.take(stream);
+                    self.spawn_connection(stream);
                     future::yield_now().await;
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock && last => return,
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    let called = async { self.last_call.1.recv().await.is_ok() };
-                    let comes = async {
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock && last_round => return,
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    let stopped = async { self.last_call.1.recv().await.is_ok() };
+                    let incoming = async {
                         if listener.readable().await.is_err() {
-                            accept_again().await;
+                            accept_retry_delay().await;
                         }
                         false
                     };
-                    last = future::or(comes, called).await;
+                    last_round = future::or(incoming, stopped).await;
                 }
-                Err(e) if concerns_one_connection(&e) => future::yield_now().await,
-                Err(e) => {
-                    tracing::debug!(failure = %e, ?pause, "cannot accept");
-                    if out_of_descriptors(&e) {
-                        self.short.set(true);
-                        self.make_room(&AT_BOUND);
-                        self.servers.close_oldest();
+                Err(error) if is_single_connection_error(&error) => future::yield_now().await,
+                Err(error) => {
+                    tracing::debug!(failure = %error, pause = ?delay, "accepting a connection failed");
+                    if is_out_of_resources(&error) {
+                        self.scarce.set(true);
+                        self.evict_one(&EVICT_AT_MAXIMUM);
+                        self.servers.close_oldest_idle();
                     }
-                    // Whatever it is, it may last: it is neither waited for in a spin nor the end of accepting.
-                    Timer::after(pause).await;
-                    pause = (pause * 2).min(ACCEPT_AGAIN);
+                    // Any other error may persist: accepting neither spins on it nor ends.
+                    Timer::after(delay).await;
+                    delay = (delay * 2).min(MAX_ACCEPT_RETRY_DELAY);
                 }
             }
         }
     }
 
-    fn take(self: &Rc<Self>, stream: TcpStream) {
+    fn spawn_connection(self: &Rc<Self>, stream: TcpStream) {
         let Ok(stream) = Async::new(stream) else { return };
-        let open = Open::new(self.clone());
-        self.executor.spawn(async move { open.0.clone().connection(stream).await }).detach();
+        let guard = ConnectionGuard::new(self.clone());
+        self.executor.spawn(async move { guard.0.clone().connection(stream).await }).detach();
     }
 
-    /// Takes no more connections from now on: those queued are served, and the listener is closed, so that
-    /// all that comes goes to the process beside this one that shares the address.
+    /// Stops accepting: connections that are queued are still served, and then the listener is
+    /// closed, so that all new ones go to the other process that shares the address.
     pub fn last_call(&self) {
         let _ = self.last_call.0.try_send(());
     }
 
-    /// Requests are taken in by these settings from now on: their classes, tenants and rules.
+    /// Sets the classes, tenants and rules for requests that are accepted from now on.
     pub fn set_platform(&self, platform: Platform) {
         *self.platform.borrow_mut() = platform;
     }
 
-    /// From now on so many connections are served at most.
-    pub fn set_bound(&self, connections: usize) {
-        self.connections.set(connections);
+    /// Sets the maximum number of open connections.
+    pub fn set_bound(&self, max_connections: usize) {
+        self.max_connections.set(max_connections);
     }
 
-    /// The word to stop has come: it is not ready from now on, but serves on the connections that clients keep
-    /// until [`Clients::leave`], each new flow due by the stop's last answer.
+    /// Starts the stop of the process: it reports not ready, but continues to serve existing
+    /// connections until [`Clients::leave`]. Each new request has the time of the stop's last
+    /// answer as its latest deadline.
     pub fn stop(&self) -> Stop {
         let classes = &self.platform.borrow().balancer.classes;
         let longest = classes.iter().map(|c| c.give_up).max().unwrap_or_default();
@@ -185,126 +190,133 @@
         stop
     }
 
-    /// From now on it is not ready, and asks each connection to close after its next answer.
+    /// Reports not ready from now on, and closes each connection after its next response.
     pub fn leave(&self) {
         let now = self.sidecar.clock().now();
         self.stop.set(self.stop.get().map(|stop| stop.give_back(now)));
         self.stopping.set(true);
     }
 
-    /// Sends clients away while the process runs on: it is not ready, each connection closes after its next
-    /// answer, and connections that stand idle are closed as they come to it, until [`Clients::join`].
+    /// Starts a drain while the process continues to run: it reports not ready, each connection
+    /// closes after its next response, and connections are closed as they become idle, until
+    /// [`Clients::join`].
     pub fn drain(self: &Rc<Self>) {
-        if self.leaving.replace(true) {
+        if self.draining.replace(true) {
             return;
         }
         let clients = Rc::downgrade(self);
         self.executor
             .spawn(async move {
-                while let Some(clients) = clients.upgrade().filter(|c| c.leaving.get()) {
-                    while clients.make_room(&DRAIN) {}
+                while let Some(clients) = clients.upgrade().filter(|c| c.draining.get()) {
+                    while clients.evict_one(&EVICT_IN_DRAIN) {}
                     drop(clients);
-                    Timer::after(DRAIN_EVERY).await;
+                    Timer::after(DRAIN_INTERVAL).await;
                 }
             })
             .detach();
     }
 
-    /// Ends a drain: ready again, and connections are kept.
+    /// Ends a drain: the process reports ready again, and connections are kept open.
     pub fn join(&self) {
-        self.leaving.set(false);
+        self.draining.set(false);
     }
 
-    /// Whether clients are being sent away, by a drain or for a stop.
-    pub fn leaving(&self) -> bool {
-        self.leaving.get() || self.stopping.get()
+    /// Whether clients are being sent away, by a drain or before a stop.
+    pub fn is_draining(&self) -> bool {
+        self.draining.get() || self.stopping.get()
     }
 
     /// Closes all connections that are between requests.
     pub fn close_idle(&self) {
-        while self.make_room(&[(Stage::Kept, Duration::ZERO), (Stage::Fresh, Duration::ZERO)]) {}
+        while self.evict_one(&[(Stage::Idle, Duration::ZERO), (Stage::New, Duration::ZERO)]) {}
     }
 
-    /// Connections that are open.
+    /// The number of open connections.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Waits until some connection has closed since this was last asked.
+    /// Waits until a connection has closed since the last call.
     pub async fn one_closed(&self) {
         let _ = self.closed.1.recv().await;
     }
 
-    /// A client's connection, from its first byte to its end.
+    /// Handles a client's connection from its first byte to its close.
     async fn connection(self: Rc<Self>, stream: Async<TcpStream>) {
         let _ = stream.get_ref().set_nodelay(true);
-        let answered = self.serve(&stream).await;
-        self.end(&stream, answered).await;
+        let last_response = self.serve(&stream).await;
+        self.close_client(&stream, last_response).await;
     }
 
-    /// Serves what comes on a connection until it is to end; when its last answer was written.
+    /// Serves the requests of a connection until it is to close. Returns when its last response was
+    /// written.
     async fn serve(&self, stream: &Async<TcpStream>) -> Option<Instant> {
-        let (mut buffer, mut answered) = (Buffer::default(), None);
-        let mut first_until = Some(Instant::now() + REQUEST_WITHIN);
-        while self.await_request(stream, &mut buffer, first_until).await {
-            let until = first_until.take().unwrap_or_else(|| Instant::now() + REQUEST_WITHIN);
-            let read = self.read(stream, &mut buffer, until);
-            let read = self.at_stage(Stage::Sending, read).await;
+        let (mut buffer, mut last_response) = (Buffer::default(), None);
+        let mut first_deadline = Some(Instant::now() + REQUEST_TIMEOUT);
+        while self.await_request(stream, &mut buffer, first_deadline).await {
+            let deadline = first_deadline.take().unwrap_or_else(|| Instant::now() + REQUEST_TIMEOUT);
+            let read = self.read_request(stream, &mut buffer, deadline);
+            let read = self.run_evictable(Stage::ReadingRequest, read).await;
             let (reply, keep) = match read.unwrap_or(Err(Fault::Stalled)) {
                 Ok(Some((head, body))) => {
                     let keep = head.keeps_alive(&head.line[2]);
                     (self.answer(stream, &mut buffer, head, body).await, keep)
                 }
                 Ok(None) => break,
-                Err(fault) => (take_in::unreadable(&fault), false),
+                Err(fault) => (take_in::unreadable_reply(&fault), false),
             };
             let Some(reply) = reply else { break };
             if (400..500).contains(&reply.status) {
                 self.sidecar.counts().bad_request();
-                tracing::warn!(status = reply.status, "a request that cannot be read or served");
+                tracing::warn!(status = reply.status, "rejected an invalid request");
             }
-            // Who sends what cannot be served starts anew; and nobody gets ahead by asking without a pause.
-            let keep = keep && !reply.is_last() && !self.leaving();
-            let bytes = reply.bytes(keep);
-            let sent = within(SLOW_READER, crate::write_all(stream, &bytes)).await;
-            answered = Some(Instant::now());
+            // After a request that cannot be served the client has to reconnect. The task yields
+            // after each response, so that a client that sends without a pause gets no more than
+            // its share.
+            let keep = keep && !reply.closes_connection() && !self.is_draining();
+            let bytes = reply.to_bytes(keep);
+            let sent = within(WRITE_TIMEOUT, crate::write_all(stream, &bytes)).await;
+            last_response = Some(Instant::now());
             if sent.is_err() || !keep {
                 break;
             }
             future::yield_now().await;
         }
-        answered
+        last_response
     }
 
-    /// Waits for the first byte of a request; false when the connection is to end without one.
+    /// Waits for the first byte of a request; false when the connection is to close without one.
     async fn await_request(
         &self,
         stream: &Async<TcpStream>,
         buffer: &mut Buffer,
-        first_until: Option<Instant>,
+        first_deadline: Option<Instant>,
     ) -> bool {
         if !buffer.is_empty() {
             return true;
         }
-        let stage = if first_until.is_some() { Stage::Fresh } else { Stage::Kept };
-        let until = first_until.unwrap_or_else(|| Instant::now() + IDLE);
+        let stage = if first_deadline.is_some() { Stage::New } else { Stage::Idle };
+        let deadline = first_deadline.unwrap_or_else(|| Instant::now() + IDLE_TIMEOUT);
         let mut reader = stream;
-        let arrived = super::with_deadline(until, buffer.fill(&mut reader));
-        let arrived = self.at_stage(stage, arrived).await;
-        // What came while the word to close was on its way has been taken and is served.
-        matches!(arrived, Some(Ok(n)) if n > 0) || matches!(stream.get_ref().peek(&mut [0]), Ok(n) if n > 0)
+        let received = super::with_deadline(deadline, buffer.fill(&mut reader));
+        let received = self.run_evictable(stage, received).await;
+        // Data that arrived while the close was being requested has reached this process and is
+        // served.
+        matches!(received, Some(Ok(n)) if n > 0)
+            || matches!(stream.get_ref().peek(&mut [0]), Ok(n) if n > 0)
     }
 
-    /// Reads a request: its head by `until`, its body by a time of its own that grows with its length.
-    async fn read(
+    /// Reads a request: the head by `deadline`, the body within a time of its own that grows with
+    /// its length.
+    async fn read_request(
         &self,
         stream: &Async<TcpStream>,
         buffer: &mut Buffer,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Option<(Head, Vec<u8>)>, Fault> {
         let mut reader = stream;
         let head = async { Ok(http::read_head(buffer, &mut reader, http::begins_request).await) };
-        let Some(head) = super::with_deadline(until, head).await.unwrap_or(Err(Fault::Stalled))? else {
+        let Some(head) = super::with_deadline(deadline, head).await.unwrap_or(Err(Fault::Stalled))? else {
             return Ok(None);
         };
         let framing = take_in::body_framing(&head)?;
@@ -312,28 +324,29 @@
             crate::write_all(stream, b"HTTP/1.1 100 Continue\r\n\r\n").await?;
         }
         let body = async { Ok(http::read_body(buffer, &mut reader, framing, http::BODY_LIMIT).await) };
-        let body_until = until.max(Instant::now() + body_time(framing));
-        let body = super::with_deadline(body_until, body).await.unwrap_or(Err(Fault::Stalled))?;
+        let body_deadline = deadline.max(Instant::now() + body_timeout(framing));
+        let body = super::with_deadline(body_deadline, body).await.unwrap_or(Err(Fault::Stalled))?;
         Ok(Some((head, body)))
     }
 }
 
-async fn accept_again() {
-    Timer::after(ACCEPT_AGAIN).await;
+async fn accept_retry_delay() {
+    Timer::after(MAX_ACCEPT_RETRY_DELAY).await;
 }
 
-/// Whether accepting failed for one connection alone, or was interrupted: the next one may be accepted at once.
-fn concerns_one_connection(e: &io::Error) -> bool {
+/// Whether accepting failed for one connection alone, or was interrupted: the next one may be
+/// accepted at once.
+fn is_single_connection_error(error: &io::Error) -> bool {
     const EPROTO: i32 = 71;
     let kinds =
         [io::ErrorKind::ConnectionAborted, io::ErrorKind::ConnectionReset, io::ErrorKind::Interrupted];
-    kinds.contains(&e.kind()) || e.raw_os_error() == Some(EPROTO)
+    kinds.contains(&error.kind()) || error.raw_os_error() == Some(EPROTO)
 }
 
-fn out_of_descriptors(e: &io::Error) -> bool {
+fn is_out_of_resources(error: &io::Error) -> bool {
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
     const ENOBUFS: i32 = 105;
     const ENOMEM: i32 = 12;
-    e.raw_os_error().is_some_and(|code| [ENFILE, EMFILE, ENOBUFS, ENOMEM].contains(&code))
+    error.raw_os_error().is_some_and(|code| [ENFILE, EMFILE, ENOBUFS, ENOMEM].contains(&code))
 }
--- a/crates/net/src/clients/relay.rs
+++ b/crates/net/src/clients/relay.rs
@@ -1,63 +1,68 @@
-//! Relay: an answer goes to the client, whoever made it.
+//! The response to a client, from an endpoint or local.
 
-use crate::servers::Served;
+use crate::servers::EndpointResponse;
 use cottonpoint_core::FixedResponse;
 use std::fmt::Write;
 
-/// An answer to a client.
+/// A response to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// The status.
+    /// The HTTP status code.
     pub status: u16,
-    /// Whether the connection ends behind it, whatever its status.
-    last: bool,
+    /// Whether the connection closes after it, whatever its status.
+    close: bool,
     headers: Vec<(&'static str, String)>,
     body: Vec<u8>,
 }
 
 impl Reply {
-    /// A target's answer: its body, unchanged.
-    pub fn served(served: Served) -> Reply {
-        let content_type = served.content_type.map(|t| ("Content-Type", t));
-        Reply { status: 200, last: false, headers: content_type.into_iter().collect(), body: served.body }
+    /// The response of an endpoint, with its body unchanged.
+    pub fn from_endpoint(response: EndpointResponse) -> Reply {
+        let content_type = response.content_type.map(|t| ("Content-Type", t));
+        Reply {
+            status: 200,
+            close: false,
+            headers: content_type.into_iter().collect(),
+            body: response.body,
+        }
     }
 
-    /// The words for a final answer that no target made. Only a refusal may be worded as one.
-    pub fn fixed(response: FixedResponse) -> Reply {
+    /// The local reply for a final answer without an endpoint. Only a refusal may be worded as one.
+    pub fn local(response: FixedResponse) -> Reply {
         match response {
-            FixedResponse::Refused { retry_after: None } => Reply::plain(503, "refused"),
-            FixedResponse::Refused { retry_after: Some(wait) } => {
-                Reply::plain(503, "refused").with("Retry-After", &format!("{:.3}", wait.as_secs_f64()))
-            }
-            FixedResponse::Failed => Reply::plain(502, "failed"),
+            FixedResponse::Refused { retry_after: None } => Reply::text(503, "refused"),
+            FixedResponse::Refused { retry_after: Some(delay) } => Reply::text(503, "refused")
+                .with_header("Retry-After", &format!("{:.3}", delay.as_secs_f64())),
+            FixedResponse::Failed => Reply::text(502, "failed"),
         }
     }
 
-    /// A status and a few words.
-    pub fn plain(status: u16, words: &str) -> Reply {
+    /// A response with a status and a short text.
+    pub fn text(status: u16, text: &str) -> Reply {
         let headers = vec![("Content-Type", "text/plain".to_owned())];
-        Reply { status, last: false, headers, body: format!("{words}\n").into_bytes() }
+        Reply { status, close: false, headers, body: format!("{text}\n").into_bytes() }
     }
 
-    /// The same with one more header.
-    pub fn with(mut self, name: &'static str, value: &str) -> Reply {
+    /// Adds a header.
+    pub fn with_header(mut self, name: &'static str, value: &str) -> Reply {
         self.headers.push((name, value.to_owned()));
         self
     }
 
-    /// The same with its connection ended behind it.
-    pub fn last(mut self) -> Reply {
-        self.last = true;
+    /// Closes the connection after this response.
+    pub fn closing_connection(mut self) -> Reply {
+        self.close = true;
         self
     }
 
-    /// Whether its connection is to end behind it: the client has sent what is no request, or too much.
-    pub fn is_last(&self) -> bool {
-        self.last || (400..500).contains(&self.status)
+    /// Whether the connection closes after this response: the client has sent an invalid request,
+    /// or too much data.
+    pub fn closes_connection(&self) -> bool {
+        self.close || (400..500).contains(&self.status)
     }
 
-    /// As it goes out.
-    pub fn bytes(&self, keep: bool) -> Vec<u8> {
+    /// Serializes the response; `keep` says whether the connection stays open.
+    pub fn to_bytes(&self, keep: bool) -> Vec<u8> {
         let reason = match self.status {
             200 => "OK",
             400 => "Bad Request",
@@ -75,8 +80,8 @@
         for (name, value) in &self.headers {
             let _ = write!(head, "{name}: {value}\r\n");
         }
-        let close = if keep { "" } else { "Connection: close\r\n" };
-        let _ = write!(head, "Content-Length: {}\r\n{close}\r\n", self.body.len());
+        let connection_header = if keep { "" } else { "Connection: close\r\n" };
+        let _ = write!(head, "Content-Length: {}\r\n{connection_header}\r\n", self.body.len());
         let mut bytes = head.into_bytes();
         bytes.extend_from_slice(&self.body);
         bytes
--- a/crates/net/src/clients/take_in.rs
+++ b/crates/net/src/clients/take_in.rs
@@ -1,4 +1,4 @@
-//! Take in: a client's request is read, checked and made a flow, or answered right here.
+//! Request admission: validates a client's request and accepts it, or answers it locally.
 
 use super::relay::Reply;
 use crate::servers::Outgoing;
@@ -8,25 +8,25 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// A request that became a flow.
+/// A request that was accepted.
 #[derive(Debug)]
-pub struct TakenIn {
-    /// Its class.
+pub struct AcceptedRequest {
+    /// The class of the request.
     pub class: ClassId,
-    /// The name of its class, as its figures are counted.
+    /// The name of the class, as used in statistics.
     pub class_name: String,
-    /// Its tenant.
+    /// The tenant, if there is one.
     pub tenant: Option<TenantId>,
-    /// Its id; no other open flow may have the same.
+    /// The id; no other open request may have the same.
     pub id: String,
-    /// How long its client waits.
-    pub left: Duration,
-    /// What goes to targets.
+    /// How long the client waits.
+    pub time_left: Duration,
+    /// The request to send to endpoints.
     pub outgoing: Outgoing,
 }
 
-/// The answer to what could not be read, if there is anybody to answer.
-pub fn unreadable(fault: &Fault) -> Option<Reply> {
+/// The response to a request that could not be read; `None` where the connection is gone.
+pub fn unreadable_reply(fault: &Fault) -> Option<Reply> {
     let status = match fault {
         Fault::Broken | Fault::ConnectionFailed => return None,
         Fault::Malformed(_) => 400,
@@ -34,17 +34,17 @@
         Fault::BodyTooLong => 413,
         Fault::Stalled => 408,
     };
-    Some(Reply::plain(status, &fault.to_string()))
+    Some(Reply::text(status, &fault.to_string()))
 }
 
-/// Checks a request's first line and says how its body is framed.
+/// Validates the request line and determines how the body is framed.
 pub fn body_framing(head: &Head) -> Result<Framing, Fault> {
     let version = head.line[2].as_str();
     if !matches!(version, "HTTP/1.1" | "HTTP/1.0") {
         return Err(Fault::Malformed("version"));
     }
-    let target = head.line[1].as_str();
-    if !target.starts_with('/') || !target.bytes().all(|b| b.is_ascii_graphic() && b != b'#') {
+    let path = head.line[1].as_str();
+    if !path.starts_with('/') || !path.bytes().all(|b| b.is_ascii_graphic() && b != b'#') {
         return Err(Fault::Malformed("path"));
     }
     if head.only("host")?.is_none() && version == "HTTP/1.1" {
@@ -53,26 +53,26 @@
     http::framing(head, version, Framing::Length(0))
 }
 
-/// The headers that say what a flow is: each may be given once.
-const ONCE: [&str; 5] =
+/// The headers that describe a request: each may be given once.
+const SINGLE_HEADERS: [&str; 5] =
     ["x-service-class", "x-account", "x-correlation-id", "x-time-left-ms", "idempotency-key"];
 
-/// Makes a request a flow by what its headers say, or answers it: with 404 for an unknown class or path,
-/// with 400 for a bad header value.
-pub fn take_in(platform: &Platform, head: &Head, body: Vec<u8>) -> Result<TakenIn, Reply> {
-    let bad = |what: &str| Err(Reply::plain(400, what));
-    if let Some(name) = ONCE.iter().find(|name| head.only(name).is_err()) {
+/// Accepts a request by its headers, or returns the local reply: 404 for an unknown class or path,
+/// 400 for an invalid header value.
+pub fn accept_request(platform: &Platform, head: &Head, body: Vec<u8>) -> Result<AcceptedRequest, Reply> {
+    let bad = |reason: &str| Err(Reply::text(400, reason));
+    if let Some(name) = SINGLE_HEADERS.iter().find(|name| head.only(name).is_err()) {
         return bad(&format!("{name} is given twice"));
     }
     let path = head.line[1].split('?').next().unwrap_or_default();
-    let first = path.split('/').nth(1).unwrap_or_default();
-    let named = |name: &str| platform.classes.iter().position(|c| c == name);
-    let Some(class) = named(first) else {
+    let first_segment = path.split('/').nth(1).unwrap_or_default();
+    let class_index = |name: &str| platform.classes.iter().position(|c| c == name);
+    let Some(class) = class_index(first_segment) else {
         tracing::debug!(method = head.line[0], path, "unknown path");
-        return Err(Reply::plain(404, "unknown path"));
+        return Err(Reply::text(404, "unknown path"));
     };
-    match head.get("x-service-class").map(named) {
-        Some(None) => return Err(Reply::plain(404, "unknown class")),
+    match head.get("x-service-class").map(class_index) {
+        Some(None) => return Err(Reply::text(404, "unknown class")),
         Some(Some(other)) if other != class => return bad("class and path differ"),
         _ => {}
     }
@@ -88,33 +88,40 @@
     let Some(id) = head.get("x-correlation-id").filter(|id| !id.is_empty()) else {
         return bad("no correlation id");
     };
-    let rules = &platform.balancer.classes[class];
-    let (method, keyed) = match rules.effect {
+    let class_settings = &platform.balancer.classes[class];
+    let (method, needs_key) = match class_settings.effect {
         Effect::Safe => ("GET", false),
         Effect::Keyed { .. } => ("POST", true),
         Effect::Unsafe => ("POST", false),
     };
     if head.line[0] != method {
-        return Err(Reply::plain(405, "the class has another method").with("Allow", method));
+        return Err(Reply::text(405, "the class has another method").with_header("Allow", method));
     }
-    if keyed && head.get("idempotency-key").is_none_or(str::is_empty) {
+    if needs_key && head.get("idempotency-key").is_none_or(str::is_empty) {
         return bad("no idempotency key");
     }
-    let left = match head.get("x-time-left-ms") {
-        // Digits only: no sign, no fraction, and no more than a number holds.
+    let time_left = match head.get("x-time-left-ms") {
+        // Digits only: no sign, no fraction, and no more than the integer type holds.
         Some(text) => match text.parse().ok().filter(|_| text.bytes().all(|b| b.is_ascii_digit())) {
-            Some(ms) => Duration::from_millis(ms).min(rules.give_up),
+            Some(ms) => Duration::from_millis(ms).min(class_settings.give_up),
             None => return bad("the time left is no number of milliseconds"),
         },
-        None => rules.give_up,
+        None => class_settings.give_up,
     };
-    let outgoing = Outgoing { head: passed_on(head, body.len()), body };
+    let outgoing = Outgoing { head: forwarded_head(head, body.len()), body };
     let class_name = platform.classes[class].clone();
-    Ok(TakenIn { class: ClassId(class as u16), class_name, tenant, id: id.to_owned(), left, outgoing })
+    Ok(AcceptedRequest {
+        class: ClassId(class as u16),
+        class_name,
+        tenant,
+        id: id.to_owned(),
+        time_left,
+        outgoing,
+    })
 }
 
-/// Headers that concern one connection only, or are stated anew.
-const NOT_PASSED_ON: [&str; 11] = [
+/// Headers that concern a single connection, or that the sidecar sets itself.
+const NOT_FORWARDED: [&str; 11] = [
     "connection",
     "content-length",
     "expect",
@@ -128,16 +135,16 @@
     "x-time-left-ms",
 ];
 
-fn passed_on(head: &Head, body: usize) -> String {
-    let mut out = format!("{} {} HTTP/1.1\r\n", head.line[0], head.line[1]);
+fn forwarded_head(head: &Head, body: usize) -> String {
+    let mut forwarded = format!("{} {} HTTP/1.1\r\n", head.line[0], head.line[1]);
     for (name, value) in &head.headers {
-        let own = NOT_PASSED_ON.iter().any(|n| name.eq_ignore_ascii_case(n));
-        if !own && !head.has("connection", name) {
-            let _ = write!(out, "{name}: {value}\r\n");
+        let not_forwarded = NOT_FORWARDED.iter().any(|n| name.eq_ignore_ascii_case(n));
+        if !not_forwarded && !head.has("connection", name) {
+            let _ = write!(forwarded, "{name}: {value}\r\n");
         }
     }
     if body > 0 || head.line[0] == "POST" {
-        let _ = write!(out, "Content-Length: {body}\r\n");
+        let _ = write!(forwarded, "Content-Length: {body}\r\n");
     }
-    out
+    forwarded
 }
--- a/crates/net/src/console.rs
+++ b/crates/net/src/console.rs
@@ -1,6 +1,7 @@
-//! The console: the operator's second address. One call a connection, a line each way: the answer begins with
-//! `+OK` or `-ERR`. What a call does is the caller's business, given as a function; here are the line, the
-//! bounds and the timers, so that no caller, silent or slow, holds anything of the data path.
+//! The operator's console: a line protocol on a socket of its own. Each connection carries one
+//! command line and its answer, which begins with `+OK` or `-ERR`. The caller of [`serve`] supplies
+//! the function that executes commands. This module handles lines, limits and timers, so that no
+//! operator, silent or slow, occupies any resource of the data path.
 
 use crate::clients::{LINGER, close};
 use crate::within;
@@ -16,174 +17,181 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The longest call: a command and an endpoint's name.
+/// The maximum length of a command line in bytes: a command and an endpoint's name.
 pub const LINE_LIMIT: usize = 512;
-/// A caller that has not sent its whole line by then is let go: some send nothing, or half a call, and stay
-/// for 4 s (the operators' page); the line may still be finished until then.
-const PATIENCE: Duration = Duration::from_millis(4500);
-/// Callers served at once; past that, the one that has said nothing for longest makes room. Each holds one descriptor.
+/// A connection that has not sent its whole line within this time is closed. Some operators' tools
+/// send nothing, or half a command, and stay connected for 4 s (the deployment's requirements); the
+/// line may still be completed until then.
+const LINE_TIMEOUT: Duration = Duration::from_millis(4500);
+/// The maximum number of connections. Beyond it, the connection that has waited longest without a
+/// complete line is closed to make room. Each holds one descriptor.
 pub const AT_ONCE: usize = 32;
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A call, as the operator writes it.
+/// A command, as the operator writes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process takes clients.
+    /// Asks whether this process accepts clients.
     Health,
-    /// The figures.
+    /// Asks for the statistics.
     Dump,
-    /// Who is in the fleet, as this process sees it.
+    /// Asks for the members of the fleet, as this process sees them.
     Peers,
-    /// Take that endpoint out.
+    /// Takes an endpoint out of rotation.
     Offline(String),
-    /// Use that endpoint again.
+    /// Puts an endpoint back into rotation.
     Online(String),
-    /// Send clients away.
+    /// Starts a drain: clients are sent away.
     Leave,
-    /// End of the drain.
+    /// Ends the drain.
     Join,
 }
 
-/// Why a line is no call.
+/// Why a line is not a valid command.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadCall(String);
+pub struct InvalidCommand(String);
 
-impl fmt::Display for BadCall {
+impl fmt::Display for InvalidCommand {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
 impl Call {
-    /// Reads one line, without its end. Commands are taken in any case; names as they are.
-    pub fn parse(line: &str) -> Result<Call, BadCall> {
+    /// Parses one line without its line ending. Commands are case-insensitive; endpoint names are
+    /// not.
+    pub fn parse(line: &str) -> Result<Call, InvalidCommand> {
         let mut words = line.split_ascii_whitespace();
-        let Some(command) = words.next() else { return Err(BadCall("empty line".to_owned())) };
-        let id = words.next();
+        let Some(name) = words.next() else { return Err(InvalidCommand("empty line".to_owned())) };
+        let argument = words.next();
         if words.next().is_some() {
-            return Err(BadCall(format!("{command}: too many words")));
+            return Err(InvalidCommand(format!("{name}: too many words")));
         }
-        let none = |call: Call| match id {
-            None => Ok(call),
-            Some(_) => Err(BadCall(format!("{command} takes no argument"))),
+        let without_argument = |command: Call| match argument {
+            None => Ok(command),
+            Some(_) => Err(InvalidCommand(format!("{name} takes no argument"))),
         };
-        let named = |call: fn(String) -> Call| match id {
-            Some(id) => Ok(call(id.to_owned())),
-            None => Err(BadCall(format!("{command} wants an endpoint id"))),
+        let with_endpoint = |command: fn(String) -> Call| match argument {
+            Some(argument) => Ok(command(argument.to_owned())),
+            None => Err(InvalidCommand(format!("{name} wants an endpoint id"))),
         };
-        match command.to_ascii_uppercase().as_str() {
-            "HEALTH" => none(Call::Health),
-            "DUMP" => none(Call::Dump),
-            "PEERS" => none(Call::Peers),
-            "LEAVE" => none(Call::Leave),
-            "JOIN" => none(Call::Join),
-            "OFFLINE" => named(Call::Offline),
-            "ONLINE" => named(Call::Online),
-            _ => Err(BadCall(format!("unknown command {}", command.escape_debug()))),
+        match name.to_ascii_uppercase().as_str() {
+            "HEALTH" => without_argument(Call::Health),
+            "DUMP" => without_argument(Call::Dump),
+            "PEERS" => without_argument(Call::Peers),
+            "LEAVE" => without_argument(Call::Leave),
+            "JOIN" => without_argument(Call::Join),
+            "OFFLINE" => with_endpoint(Call::Offline),
+            "ONLINE" => with_endpoint(Call::Online),
+            _ => Err(InvalidCommand(format!("unknown command {}", name.escape_debug()))),
         }
     }
 }
 
-/// What a line that ends a call's answer holds: the answer is whole.
+/// Formats an answer of one line.
 pub fn answer_line(result: Result<String, String>) -> String {
     let one_line = |s: String| s.replace(['\r', '\n'], " ");
     match result {
-        Ok(words) if words.is_empty() => "+OK\n".to_owned(),
-        Ok(words) => format!("+OK {}\n", one_line(words)),
-        Err(why) => format!("-ERR {}\n", one_line(why)),
+        Ok(text) if text.is_empty() => "+OK\n".to_owned(),
+        Ok(text) => format!("+OK {}\n", one_line(text)),
+        Err(error) => format!("-ERR {}\n", one_line(error)),
     }
 }
 
-/// Answers calls on the listener for good; `answer` gives the whole text for a call, its lines ended.
+/// Serves the console on `listener` until the task is dropped. `answer` returns the complete text
+/// of the answer to a command, including line endings.
 pub async fn serve(
     listener: TcpListener,
     executor: Executor,
     answer: Rc<dyn Fn(Call) -> String>,
 ) -> io::Result<()> {
     let listener = Async::new(listener)?;
-    let ended = async_channel::bounded(1);
-    let callers = Rc::new(Callers { served: Cell::default(), ended, silent: RefCell::default() });
-    for number in 0.. {
-        while callers.served.get() >= AT_ONCE {
-            if let Some((_, let_go)) = callers.silent.borrow_mut().pop_first() {
-                let _ = let_go.try_send(());
+    let closed = async_channel::bounded(1);
+    let connections =
+        Rc::new(OpenConnections { open: Cell::default(), closed, awaiting_line: RefCell::default() });
+    for id in 0.. {
+        while connections.open.get() >= AT_ONCE {
+            if let Some((_, evict)) = connections.awaiting_line.borrow_mut().pop_first() {
+                let _ = evict.try_send(());
             }
-            let ended = async {
-                let _ = callers.ended.1.recv().await;
+            let closed = async {
+                let _ = connections.closed.1.recv().await;
             };
-            future::or(ended, accept_again()).await;
+            future::or(closed, accept_retry_delay()).await;
         }
-        // A listener's error, such as no descriptor left, is tried again a little later.
+        // A listener's error, such as no free descriptor, is retried after a short delay.
         let Ok((stream, _)) = listener.accept().await else {
-            accept_again().await;
+            accept_retry_delay().await;
             continue;
         };
-        callers.served.set(callers.served.get() + 1);
-        let (callers, answer) = (callers.clone(), answer.clone());
+        connections.open.set(connections.open.get() + 1);
+        let (connections, answer) = (connections.clone(), answer.clone());
         executor
             .spawn(async move {
                 let _ = stream.get_ref().set_nodelay(true);
-                let answered = within(PATIENCE, callers.one(number, &stream, &*answer)).await;
-                callers.silent.borrow_mut().remove(&number);
-                let owed = answered.unwrap_or(false);
-                close(&stream, if owed { LINGER } else { Duration::ZERO }).await;
-                callers.served.set(callers.served.get() - 1);
-                let _ = callers.ended.0.try_send(());
+                let answered = within(LINE_TIMEOUT, connections.serve_one(id, &stream, &*answer)).await;
+                connections.awaiting_line.borrow_mut().remove(&id);
+                let was_answered = answered.unwrap_or(false);
+                close(&stream, if was_answered { LINGER } else { Duration::ZERO }).await;
+                connections.open.set(connections.open.get() - 1);
+                let _ = connections.closed.0.try_send(());
             })
             .detach();
     }
     Ok(())
 }
 
-async fn accept_again() {
-    Timer::after(ACCEPT_AGAIN).await;
+async fn accept_retry_delay() {
+    Timer::after(ACCEPT_RETRY_DELAY).await;
 }
 
-/// Who is on the line.
-struct Callers {
-    served: Cell<usize>,
-    /// Told when one has ended.
-    ended: (Sender<()>, Receiver<()>),
-    /// Those that have not sent their whole line, in the order in which they came, and how to let them go: the next
-    /// one may not wait for their patience to end.
-    silent: RefCell<BTreeMap<u64, Sender<()>>>,
+/// The open console connections.
+struct OpenConnections {
+    open: Cell<usize>,
+    /// Signals that a connection has closed.
+    closed: (Sender<()>, Receiver<()>),
+    /// The connections that have not sent their whole line, oldest first, and the channel that
+    /// closes each: a new connection need not wait for the line timeout of an idle one.
+    awaiting_line: RefCell<BTreeMap<u64, Sender<()>>>,
 }
 
-impl Callers {
-    /// One call on one connection; whether it was answered.
-    async fn one(
+impl OpenConnections {
+    /// Serves the one command of a connection. Returns whether it was answered.
+    async fn serve_one(
         &self,
-        number: u64,
+        id: u64,
         stream: &Async<TcpStream>,
         answer: &dyn Fn(Call) -> String,
     ) -> io::Result<bool> {
-        let (let_go, told) = async_channel::bounded(1);
-        self.silent.borrow_mut().insert(number, let_go);
-        let gives_way = async {
-            let _ = told.recv().await;
+        let (evict, evicted) = async_channel::bounded(1);
+        self.awaiting_line.borrow_mut().insert(id, evict);
+        let eviction = async {
+            let _ = evicted.recv().await;
             Ok(None)
         };
-        let line = future::or(read_line(stream), gives_way).await?;
-        self.silent.borrow_mut().remove(&number);
+        let line = future::or(read_line(stream), eviction).await?;
+        self.awaiting_line.borrow_mut().remove(&id);
         let Some(line) = line else { return Ok(false) };
         let reply = match line.as_deref().map(std::str::from_utf8) {
-            Ok(Ok(text)) => match Call::parse(text).inspect(|call| tracing::debug!(?call, "console")) {
-                Ok(call) => answer(call),
-                Err(bad) => answer_line(Err(bad.to_string())),
+            Ok(Ok(text)) => match Call::parse(text)
+                .inspect(|command| tracing::debug!(call = ?command, "console command"))
+            {
+                Ok(command) => answer(command),
+                Err(invalid) => answer_line(Err(invalid.to_string())),
             },
             Ok(Err(_)) => answer_line(Err("not UTF-8".to_owned())),
-            Err(TooLong) => answer_line(Err("line too long".to_owned())),
+            Err(LineTooLong) => answer_line(Err("line too long".to_owned())),
         };
         crate::write_all(stream, reply.as_bytes()).await.map(|()| true)
     }
 }
 
-/// A line of more than [`LINE_LIMIT`].
-struct TooLong;
+/// The line is longer than [`LINE_LIMIT`].
+struct LineTooLong;
 
-/// The line that a caller sends, without its end; `None` where it sends nothing. A call without its end is still a
-/// call, when the caller closes its side.
-async fn read_line(stream: &Async<TcpStream>) -> io::Result<Option<Result<Vec<u8>, TooLong>>> {
+/// Reads a command line without its line ending; `None` where nothing was sent. A command without a
+/// line ending is accepted when the other side closes.
+async fn read_line(stream: &Async<TcpStream>) -> io::Result<Option<Result<Vec<u8>, LineTooLong>>> {
     let mut line = Vec::with_capacity(64);
     let (mut reader, mut chunk) = (stream, [0u8; 128]);
     loop {
@@ -192,7 +200,7 @@
         let end = line.iter().position(|&b| b == b'\n');
         line.truncate(end.unwrap_or(line.len()));
         if end.is_none() && line.len() > LINE_LIMIT {
-            return Ok(Some(Err(TooLong)));
+            return Ok(Some(Err(LineTooLong)));
         }
         if n == 0 && line.is_empty() {
             return Ok(None);
@@ -209,7 +217,7 @@
     use super::*;
 
     #[test]
-    fn calls_are_read_in_any_case_and_bad_ones_named() {
+    fn commands_are_case_insensitive_and_invalid_ones_are_reported() {
         assert_eq!(Call::parse("HEALTH"), Ok(Call::Health));
         assert_eq!(Call::parse("dump"), Ok(Call::Dump));
         assert_eq!(Call::parse("PEERS"), Ok(Call::Peers));
@@ -225,7 +233,7 @@
     }
 
     #[test]
-    fn an_answer_is_one_line() {
+    fn answer_is_one_line() {
         assert_eq!(answer_line(Ok(String::new())), "+OK\n");
         assert_eq!(answer_line(Err("no such\nendpoint".to_owned())), "-ERR no such endpoint\n");
     }
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -277,7 +277,7 @@
         }
         let started_at = self.sidecar.clock().now() - took;
         self.sidecar.answered(kind, &entries, started_at);
-        self.servers.keep_only(|endpoint| self.sidecar.takes_work(endpoint));
+        self.servers.retain_idle(|endpoint| self.sidecar.takes_work(endpoint));
     }
 
     /// Switches to another discovery address. Discovery is one service (the protocol
@@ -337,7 +337,7 @@
         );
         self.generation = Some(generation);
         self.sidecar.listed(kind, &entries);
-        self.servers.keep_only(|endpoint| self.sidecar.takes_work(endpoint));
+        self.servers.retain_idle(|endpoint| self.sidecar.takes_work(endpoint));
     }
 
     /// Parses an answer into the core's types. An empty list that would replace a list with
--- a/crates/net/src/servers/mod.rs
+++ b/crates/net/src/servers/mod.rs
@@ -1,8 +1,8 @@
-//! Servers: connections to targets, kept and reused.
+//! Connections to endpoints, pooled and reused.
 
 mod send;
 
-pub use send::{Outgoing, Served};
+pub use send::{EndpointResponse, Outgoing};
 
 use async_executor::Task;
 use async_io::{Async, Timer};
@@ -18,86 +18,88 @@
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
 
-/// An idle connection rests for this long before it is used again: a target may send a second answer some milliseconds
-/// after the first (the standing check's page), and behind the next request's last byte nothing tells whose answer it is.
-/// What comes during the rest ends the connection.
-const REST: Duration = Duration::from_millis(10);
+/// The time for which an idle connection is not reused: an endpoint may send a second response some
+/// milliseconds after the first (the standing check's page), and once the next request has been
+/// written, nothing tells which request a response belongs to. Data that arrives during this time
+/// ends the connection.
+const REUSE_DELAY: Duration = Duration::from_millis(10);
 
-/// So many time-outs in a row make a target's idle connections suspect: one may be a slow request's.
-const SILENT: u32 = 2;
+/// The number of consecutive timeouts after which an endpoint's idle connections are suspect: a
+/// single one may be a slow request's.
+const SUSPECT_TIMEOUTS: u32 = 2;
 
-/// What the pool goes by.
+/// The settings of the connection pool.
 #[derive(Clone, Debug)]
 pub struct Terms {
-    /// A connection that takes longer to come up is given up.
+    /// The timeout of a connect.
     pub connect_timeout: Duration,
-    /// An idle connection is closed after this long.
+    /// An idle connection is closed after this time.
     pub idle: Duration,
-    /// Connections held at most, in use and idle.
+    /// The maximum number of connections, in use and idle.
     pub connections: usize,
-    /// Where a load report's values stand.
+    /// The positions of the values in a load report.
     pub fields: ReportFields,
-    /// What a load report's values are called.
+    /// The names of the values in a load report.
     pub field_names: Vec<String>,
 }
 
-/// A connection to a target.
+/// A connection to an endpoint.
 struct Connection {
     stream: Rc<Async<TcpStream>>,
     buffer: Buffer,
     address: SocketAddr,
-    _place: Place,
+    _guard: ConnectionGuard,
 }
 
 /// Counts a connection for as long as it is open.
-struct Place(Rc<Cell<usize>>);
+struct ConnectionGuard(Rc<Cell<usize>>);
 
-impl Drop for Place {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// An idle connection, and the task that drops it when it closes or has stood idle for too long.
-struct Idle {
-    number: u64,
-    rested_at: Instant,
+/// An idle connection, and the task that drops it when it closes or has been idle for too long.
+struct IdleConnection {
+    id: u64,
+    reusable_at: Instant,
     connection: Connection,
-    _watch: Task<()>,
+    _monitor: Task<()>,
 }
 
-/// The connections to all targets.
+/// The connections to all endpoints.
 pub struct Servers {
     terms: RefCell<Terms>,
     executor: Executor,
-    idle: RefCell<HashMap<EndpointId, Vec<Idle>>>,
-    /// Attempts in a row that a target let time out without a word.
-    silent: RefCell<HashMap<EndpointId, u32>>,
-    next: Cell<u64>,
+    idle: RefCell<HashMap<EndpointId, Vec<IdleConnection>>>,
+    /// The number of consecutive attempts per endpoint that timed out without a response.
+    consecutive_timeouts: RefCell<HashMap<EndpointId, u32>>,
+    next_id: Cell<u64>,
     open: Rc<Cell<usize>>,
-    this: Weak<Servers>,
+    weak_self: Weak<Servers>,
 }
 
 impl Servers {
-    /// A pool without connections.
+    /// Creates an empty pool.
     pub fn new(terms: Terms, executor: Executor) -> Rc<Servers> {
-        Rc::new_cyclic(|this| Servers {
+        Rc::new_cyclic(|weak_self| Servers {
             terms: terms.into(),
             executor,
             idle: RefCell::default(),
-            silent: RefCell::default(),
-            next: Cell::new(0),
+            consecutive_timeouts: RefCell::default(),
+            next_id: Cell::new(0),
             open: Rc::default(),
-            this: this.clone(),
+            weak_self: weak_self.clone(),
         })
     }
 
-    /// These hold from now on.
+    /// Replaces the settings.
     pub fn set_terms(&self, terms: Terms) {
         self.terms.replace(terms);
     }
 
-    /// Connections that are open, in use and idle.
+    /// The number of open connections, in use and idle.
     pub fn open(&self) -> usize {
         self.open.get()
     }
@@ -106,118 +108,122 @@
         self.terms.borrow().connect_timeout
     }
 
-    /// Connections held at most.
-    pub fn bound(&self) -> usize {
+    /// The maximum number of connections.
+    pub fn max_connections(&self) -> usize {
         self.terms.borrow().connections
     }
 
-    /// Closes the idle connections to targets that are not wanted any more.
-    pub fn keep_only(&self, wanted: impl Fn(EndpointId) -> bool) {
+    /// Closes the idle connections to endpoints that are no longer wanted.
+    pub fn retain_idle(&self, wanted: impl Fn(EndpointId) -> bool) {
         self.idle.borrow_mut().retain(|&id, _| wanted(id));
-        self.silent.borrow_mut().retain(|&id, _| wanted(id));
+        self.consecutive_timeouts.borrow_mut().retain(|&id, _| wanted(id));
     }
 
-    /// Takes note of whether a target spoke. A machine that is cut off leaves its connections open and
-    /// silent, and each would cost a whole time-out to find out; a new one fails at once.
-    fn heard(&self, target: EndpointId, outcome: Outcome) {
+    /// Records whether an endpoint responded. A machine that is cut off from the network leaves its
+    /// connections open and silent, and each would cost a whole timeout to detect; a new connection
+    /// fails at once.
+    fn record_outcome(&self, endpoint: EndpointId, outcome: Outcome) {
         match outcome {
             Outcome::Ok | Outcome::Error | Outcome::Full => {
-                self.silent.borrow_mut().remove(&target);
+                self.consecutive_timeouts.borrow_mut().remove(&endpoint);
             }
             Outcome::TimedOut => {
-                let mut silent = self.silent.borrow_mut();
-                let times = silent.entry(target).or_default();
-                *times += 1;
-                if *times >= SILENT {
-                    self.idle.borrow_mut().remove(&target);
+                let mut consecutive_timeouts = self.consecutive_timeouts.borrow_mut();
+                let count = consecutive_timeouts.entry(endpoint).or_default();
+                *count += 1;
+                if *count >= SUSPECT_TIMEOUTS {
+                    self.idle.borrow_mut().remove(&endpoint);
                 }
             }
             _ => {}
         }
     }
 
-    /// The most recently used idle connection to a target that has rested and is still open. Where all of them rest, they
-    /// are waited for: a new one costs the target more, and may come up late.
-    async fn take(&self, target: Target) -> Option<Connection> {
-        let resting = || {
+    /// Takes the most recently used idle connection to an endpoint that may be reused and is still
+    /// open. Where all of them are within the reuse delay, it waits for the most recent one: a new
+    /// connection costs the endpoint more, and may be established late.
+    async fn take_idle(&self, endpoint: Target) -> Option<Connection> {
+        let pending_reuse = || {
             let pools = self.idle.borrow();
-            let pool = pools.get(&target.id)?;
-            let (first, last) = (pool.first()?.rested_at, pool.last()?.rested_at);
-            (first > Instant::now()).then_some(last)
+            let pool = pools.get(&endpoint.id)?;
+            let (earliest, latest) = (pool.first()?.reusable_at, pool.last()?.reusable_at);
+            (earliest > Instant::now()).then_some(latest)
         };
-        if let Some(rested) = resting() {
-            Timer::at(rested).await;
+        if let Some(reusable) = pending_reuse() {
+            Timer::at(reusable).await;
         }
         loop {
             let now = Instant::now();
             let idle = {
                 let mut pools = self.idle.borrow_mut();
-                let pool = pools.get_mut(&target.id)?;
-                pool.remove(pool.iter().rposition(|idle| idle.rested_at <= now)?)
+                let pool = pools.get_mut(&endpoint.id)?;
+                pool.remove(pool.iter().rposition(|idle| idle.reusable_at <= now)?)
             };
             let connection = idle.connection;
-            if connection.address == target.address && is_open(&connection.stream) {
+            if connection.address == endpoint.address && is_open(&connection.stream) {
                 return Some(connection);
             }
         }
     }
 
-    async fn connect(&self, target: Target) -> io::Result<Connection> {
-        while self.open.get() >= self.bound() {
-            if !self.close_oldest() {
-                return Err(io::Error::other("no connection to spare"));
+    async fn connect(&self, endpoint: Target) -> io::Result<Connection> {
+        while self.open.get() >= self.max_connections() {
+            if !self.close_oldest_idle() {
+                return Err(io::Error::other("all endpoint connections are in use"));
             }
         }
         self.open.set(self.open.get() + 1);
-        let place = Place(self.open.clone());
-        let connect = Async::<TcpStream>::connect(target.address);
+        let guard = ConnectionGuard(self.open.clone());
+        let connect = Async::<TcpStream>::connect(endpoint.address);
         let stream = super::within(self.connect_timeout(), connect).await?;
         stream.get_ref().set_nodelay(true)?;
         let (stream, buffer) = (Rc::new(stream), Buffer::default());
-        Ok(Connection { stream, buffer, address: target.address, _place: place })
+        Ok(Connection { stream, buffer, address: endpoint.address, _guard: guard })
     }
 
-    /// Closes the connection that has stood idle for longest; false where there is none.
-    pub fn close_oldest(&self) -> bool {
+    /// Closes the connection that has been idle for longest; false where there is none.
+    pub fn close_oldest_idle(&self) -> bool {
         let mut pools = self.idle.borrow_mut();
-        let oldest = pools.iter().filter_map(|(&id, p)| p.first().map(|i| (i.number, id))).min();
+        let oldest = pools.iter().filter_map(|(&id, pool)| pool.first().map(|idle| (idle.id, id))).min();
         if let Some(pool) = oldest.and_then(|(_, id)| pools.get_mut(&id)) {
             pool.remove(0);
         }
         oldest.is_some()
     }
 
-    /// Keeps a connection for the next attempt.
-    fn put(&self, target: EndpointId, connection: Connection) {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let (this, stream, idle) = (self.this.clone(), connection.stream.clone(), self.terms.borrow().idle);
-        let watch = self.executor.spawn(async move {
+    /// Returns a connection to the pool for the next attempt.
+    fn return_idle(&self, endpoint: EndpointId, connection: Connection) {
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
+        let (weak_self, stream, idle_timeout) =
+            (self.weak_self.clone(), connection.stream.clone(), self.terms.borrow().idle);
+        let monitor = self.executor.spawn(async move {
             let closed = async {
                 let _ = stream.readable().await;
             };
-            let aged = async {
-                Timer::after(idle).await;
+            let expired = async {
+                Timer::after(idle_timeout).await;
             };
-            future::or(closed, aged).await;
-            let Some(servers) = this.upgrade() else { return };
-            let gone = {
+            future::or(closed, expired).await;
+            let Some(servers) = weak_self.upgrade() else { return };
+            let removed = {
                 let mut pools = servers.idle.borrow_mut();
-                let pool = pools.get_mut(&target);
-                pool.and_then(|p| p.iter().position(|i| i.number == number).map(|at| p.remove(at)))
+                let pool = pools.get_mut(&endpoint);
+                pool.and_then(|pool| pool.iter().position(|idle| idle.id == id).map(|at| pool.remove(at)))
             };
-            if let Some(Idle { connection, _watch: watch, .. }) = gone {
+            if let Some(IdleConnection { connection, _monitor: monitor, .. }) = removed {
                 drop(connection);
-                watch.detach(); // It is this very task.
+                monitor.detach(); // This is the task that is running: dropping it would cancel it.
             }
         });
-        let idle = Idle { number, rested_at: Instant::now() + REST, connection, _watch: watch };
-        self.idle.borrow_mut().entry(target).or_default().push(idle);
+        let idle =
+            IdleConnection { id, reusable_at: Instant::now() + REUSE_DELAY, connection, _monitor: monitor };
+        self.idle.borrow_mut().entry(endpoint).or_default().push(idle);
     }
 }
 
 /// Whether an idle connection is still open: nothing may have arrived on it, not even its end.
 fn is_open(stream: &Async<TcpStream>) -> bool {
     let mut stream = stream.get_ref();
-    matches!(stream.read(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+    matches!(stream.read(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
--- a/crates/net/src/servers/send.rs
+++ b/crates/net/src/servers/send.rs
@@ -1,4 +1,4 @@
-//! Send: one attempt goes to its target, and what comes back is put in the balancer's terms.
+//! Sends one attempt to its endpoint, and translates the response into the balancer's types.
 
 use super::{Connection, Servers};
 use crate::origin::Origin;
@@ -14,109 +14,114 @@
 use std::task::Poll;
 use std::time::{Duration, Instant};
 
-/// An answer that has begun must be whole within this time: it is 64 KiB at most, made before it is sent.
-const WHOLE_WITHIN: Duration = Duration::from_millis(500);
+/// A response that has begun must be complete within this time: it is 64 KiB at most, and produced
+/// before it is sent.
+const RESPONSE_COMPLETION_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Nothing heard of a connection for so long speaks against its endpoint, also where the attempt's own time ends then: a
-/// handshake takes far less.
-const SILENCE_TELLS: Duration = Duration::from_millis(100);
+/// A connect without any response for this long counts against the endpoint, even if the attempt's
+/// own timeout ends it: a handshake takes far less.
+const CONNECT_FAILED_AFTER: Duration = Duration::from_millis(100);
 
-/// A request as it goes to targets: all of it but the time left.
+/// A request as it is sent to endpoints, without the header for the time left.
 #[derive(Clone, Debug)]
 pub struct Outgoing {
-    /// The first line and the headers that pass on, each line with its end.
+    /// The request line and the forwarded headers, each line with its line ending.
     pub head: String,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// What a target's serving an attempt gave.
+/// The response of an endpoint to an attempt.
 #[derive(Clone, Debug, Default)]
-pub struct Served {
-    /// What its body holds, as a header says.
+pub struct EndpointResponse {
+    /// The content type, from the header.
     pub content_type: Option<String>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// How far an attempt has come.
+/// The progress of an attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Progress {
     /// No byte of it is written.
-    NotBegun,
-    /// The same, and a connection was asked for then.
+    NotStarted,
+    /// No byte of it is written, and a connect started at this time.
     Connecting(Instant),
     /// Its first byte is written.
-    Begun,
-    /// Its last byte is written: it may run.
+    Started,
+    /// Its last byte is written: the endpoint may execute it.
     Written,
 }
 
 impl Progress {
     /// Whether a byte of it is written.
-    fn has_begun(self) -> bool {
-        matches!(self, Progress::Begun | Progress::Written)
+    fn has_started(self) -> bool {
+        matches!(self, Progress::Started | Progress::Written)
     }
 
-    /// How it is booked where its own time ends. What was not written whole never ran; an endpoint that does not read it, or
-    /// lets no connection come up, has failed.
-    fn timed_out(self) -> Outcome {
+    /// The outcome where the attempt's own time ends. A request that was not written completely was
+    /// never executed; an endpoint that does not read it, or does not accept the connection, has
+    /// failed.
+    fn timeout_outcome(self) -> Outcome {
         match self {
             Progress::Written => Outcome::TimedOut,
-            Progress::Begun => Outcome::ConnectFailed,
-            Progress::Connecting(since) if since.elapsed() >= SILENCE_TELLS => Outcome::ConnectFailed,
-            Progress::Connecting(_) | Progress::NotBegun => Outcome::Moot,
+            Progress::Started => Outcome::ConnectFailed,
+            Progress::Connecting(since) if since.elapsed() >= CONNECT_FAILED_AFTER => {
+                Outcome::ConnectFailed
+            }
+            Progress::Connecting(_) | Progress::NotStarted => Outcome::Moot,
         }
     }
 }
 
-/// How an attempt is booked whose connection failed before it was written whole: a fault of this process says nothing of the
-/// endpoint.
-fn not_connected(why: &io::Error) -> Outcome {
-    match Origin::of(why) {
+/// The outcome of an attempt whose connection failed before the request was written completely. A
+/// local fault says nothing about the endpoint.
+fn connection_failure_outcome(error: &io::Error) -> Outcome {
+    match Origin::of(error) {
         Origin::Local => {
-            tracing::debug!(%why, "no connection to an endpoint, by a fault of this process");
+            tracing::debug!(why = %error, "connecting to an endpoint failed because of a local fault");
             Outcome::Moot
         }
         Origin::Peer | Origin::Path | Origin::Timeout => Outcome::ConnectFailed,
     }
 }
 
-/// How an attempt ended, and the load report that came along.
-pub type Ended = (Outcome, Option<LoadReport>, Served);
+/// The outcome of an attempt, the load report of the response, and the response.
+pub type AttemptResult = (Outcome, Option<LoadReport>, EndpointResponse);
 
 impl Servers {
-    /// Sends an attempt, and waits until it is answered, broken, halted or out of time. To give it up, its
-    /// connection is closed.
-    /// `waits` says, right before its first byte, whether its client still waits; `written` hears once when its last
-    /// byte is written.
+    /// Sends an attempt, and waits until it is answered, fails, is halted or times out. An attempt
+    /// is abandoned by closing its connection.
+    ///
+    /// `client_waits` is called right before the first byte and returns whether the client still
+    /// waits; `on_written` is called once when the last byte is written.
     pub async fn send(
         &self,
         attempt: &Attempt,
-        until: Instant,
-        message: &Outgoing,
-        waits: impl Fn() -> bool,
-        written: impl FnOnce(),
-    ) -> Ended {
-        let progress = Cell::new(Progress::NotBegun);
-        let ended = |outcome| (outcome, None, Served::default());
+        deadline: Instant,
+        request: &Outgoing,
+        client_waits: impl Fn() -> bool,
+        on_written: impl FnOnce(),
+    ) -> AttemptResult {
+        let progress = Cell::new(Progress::NotStarted);
+        let ended = |outcome| (outcome, None, EndpointResponse::default());
         let timeout = async {
-            Timer::at(until).await;
-            ended(progress.get().timed_out())
+            Timer::at(deadline).await;
+            ended(progress.get().timeout_outcome())
         };
         let halted = async {
             loop {
                 match attempt.halted().await {
                     Halt::Withdrawn => return ended(Outcome::Cancelled),
-                    Halt::TargetLeft if !progress.get().has_begun() => return ended(Outcome::Moot),
+                    Halt::TargetLeft if !progress.get().has_started() => return ended(Outcome::Moot),
                     Halt::TargetLeft => {}
                 }
             }
         };
-        let exchange = self.exchange(attempt, until, message, &progress, waits, written);
+        let exchange = self.exchange(attempt, deadline, request, &progress, client_waits, on_written);
         let ended = future::or(exchange, future::or(halted, timeout)).await;
         if attempt.wanted() {
-            self.heard(attempt.target.id, ended.0);
+            self.record_outcome(attempt.target.id, ended.0);
         }
         ended
     }
@@ -124,56 +129,59 @@
     async fn exchange(
         &self,
         attempt: &Attempt,
-        until: Instant,
-        message: &Outgoing,
+        deadline: Instant,
+        request: &Outgoing,
         progress: &Cell<Progress>,
-        waits: impl Fn() -> bool,
-        written: impl FnOnce(),
-    ) -> Ended {
-        let target = attempt.target;
-        let failed = |outcome| (outcome, None, Served::default());
-        let (connection, way) = match self.take(target).await {
+        client_waits: impl Fn() -> bool,
+        on_written: impl FnOnce(),
+    ) -> AttemptResult {
+        let endpoint = attempt.target;
+        let failed = |outcome| (outcome, None, EndpointResponse::default());
+        let (connection, handshake_time) = match self.take_idle(endpoint).await {
             Some(connection) => (Ok(connection), Duration::ZERO),
-            None if !waits() => return failed(Outcome::Moot),
-            // What comes first on a new connection waits for its handshake, which may take as long as that.
+            None if !client_waits() => return failed(Outcome::Moot),
+            // The first byte on a new connection waits for its handshake, which may take that long.
             None => {
                 progress.set(Progress::Connecting(Instant::now()));
-                (self.connect(target).await, self.connect_timeout())
+                (self.connect(endpoint).await, self.connect_timeout())
             }
         };
         let mut connection = match connection {
             Ok(connection) => connection,
-            Err(why) => return failed(not_connected(&why)),
+            Err(error) => return failed(connection_failure_outcome(&error)),
         };
-        progress.set(Progress::NotBegun);
-        let bytes = serialize(message, until);
-        // Right before each byte: what was not written whole never ran, so it may be given up at any but the last.
-        let may_write = || attempt.may_write(progress.get().has_begun(), waits(), way);
-        let begun = || attempt.check_begun();
-        match write(&connection, &bytes, progress, may_write, begun).await {
+        progress.set(Progress::NotStarted);
+        let bytes = serialize(request, deadline);
+        // Checked right before each write: a request that was not written completely was never
+        // executed, so it may be abandoned before any byte but the last.
+        let may_write = || attempt.may_write(progress.get().has_started(), client_waits(), handshake_time);
+        let on_started = || attempt.check_begun();
+        match write(&connection, &bytes, progress, may_write, on_started).await {
             Ok(()) => {}
-            Err(NotWritten::Broken(why)) => return failed(not_connected(&why)),
-            Err(NotWritten::Denied(denial)) => {
-                let has_left = matches!(denial, Denial::EndpointLeaving | Denial::EndpointGone);
-                if !progress.get().has_begun() && !has_left {
-                    self.put(target.id, connection); // Nothing went out on it: it is as good as before.
+            Err(WriteError::ConnectionFailed(error)) => return failed(connection_failure_outcome(&error)),
+            Err(WriteError::Denied(denial)) => {
+                let endpoint_unwanted = matches!(denial, Denial::EndpointLeaving | Denial::EndpointGone);
+                if !progress.get().has_started() && !endpoint_unwanted {
+                    self.return_idle(endpoint.id, connection); // Nothing was written: it can be reused.
                 }
                 return failed(denial.outcome());
             }
         }
-        written();
+        on_written();
         let mut stream = &*connection.stream;
         let buffer = &mut connection.buffer;
-        let answer = crate::read_response(buffer, &mut stream, http::BODY_LIMIT, WHOLE_WITHIN).await;
-        let (head, status, body, keep) = match answer {
+        let answer =
+            crate::read_response(buffer, &mut stream, http::BODY_LIMIT, RESPONSE_COMPLETION_TIMEOUT).await;
+        let (head, status, body, reusable) = match answer {
             Ok(answer) => answer,
             Err(Fault::Broken | Fault::ConnectionFailed) => return failed(Outcome::Reset),
-            // The target lives and has answered, with nothing that anybody can use.
+            // The endpoint is alive and has answered, with something that cannot be used.
             Err(_) => return failed(Outcome::Error),
         };
-        // What came behind the answer belongs to no request; nor does a target that has left need connections.
-        if keep && connection.buffer.is_empty() && attempt.wanted() {
-            self.put(target.id, connection);
+        // Data behind the response belongs to no request, and an endpoint that has been removed
+        // needs no connections.
+        if reusable && connection.buffer.is_empty() && attempt.wanted() {
+            self.return_idle(endpoint.id, connection);
         }
         let outcome = match status {
             200 => Outcome::Ok,
@@ -181,10 +189,10 @@
             _ => Outcome::Error,
         };
         let content_type = head.get("content-type").map(str::to_owned);
-        (outcome, self.report(&head), Served { content_type, body })
+        (outcome, self.report(&head), EndpointResponse { content_type, body })
     }
 
-    /// The load report of an answer; one that cannot be read, in whatever part, is none.
+    /// Parses the load report of a response; one that is invalid in any part is ignored.
     fn report(&self, head: &Head) -> Option<LoadReport> {
         let text = head.only("x-backend-load").ok()??;
         let terms = self.terms.borrow();
@@ -200,53 +208,54 @@
     }
 }
 
-/// Why an attempt was not written whole: it never ran.
-enum NotWritten {
-    /// The connection broke.
-    Broken(io::Error),
-    /// The guard did not allow it, or not to its end.
+/// Why a request was not written completely, and so was never executed.
+enum WriteError {
+    /// The connection failed.
+    ConnectionFailed(io::Error),
+    /// The guard denied it, or denied the rest of it.
     Denied(Denial),
 }
 
-/// Writes all bytes, asking before each piece of them; `begun` hears once when the first piece is written.
+/// Writes all bytes and checks `may_write` before each write; `on_started` is called once, when the
+/// first piece is written.
 async fn write(
     connection: &Connection,
     bytes: &[u8],
     progress: &Cell<Progress>,
     may_write: impl Fn() -> Result<(), Denial>,
-    begun: impl Fn(),
-) -> Result<(), NotWritten> {
+    on_started: impl Fn(),
+) -> Result<(), WriteError> {
     let mut written = 0;
     while written < bytes.len() {
-        let piece = future::poll_fn(|context| {
+        let write = future::poll_fn(|context| {
             if let Err(denial) = may_write() {
-                return Poll::Ready(Err(NotWritten::Denied(denial)));
+                return Poll::Ready(Err(WriteError::Denied(denial)));
             }
             loop {
                 match Pin::new(&mut &*connection.stream).poll_write(context, &bytes[written..]) {
-                    Poll::Ready(Err(why)) if why.kind() == io::ErrorKind::Interrupted => {}
-                    polled => return polled.map_err(NotWritten::Broken),
+                    Poll::Ready(Err(error)) if error.kind() == io::ErrorKind::Interrupted => {}
+                    polled => return polled.map_err(WriteError::ConnectionFailed),
                 }
             }
         });
-        written += match piece.await? {
-            0 => return Err(NotWritten::Broken(io::ErrorKind::WriteZero.into())),
+        written += match write.await? {
+            0 => return Err(WriteError::ConnectionFailed(io::ErrorKind::WriteZero.into())),
             n => n,
         };
-        if !progress.replace(Progress::Begun).has_begun() {
-            begun();
+        if !progress.replace(Progress::Started).has_started() {
+            on_started();
         }
     }
     progress.set(Progress::Written);
     Ok(())
 }
 
-fn serialize(message: &Outgoing, until: Instant) -> Vec<u8> {
-    let left = until.saturating_duration_since(Instant::now());
-    let mut head = String::with_capacity(message.head.len() + 64);
-    head.push_str(&message.head);
+fn serialize(request: &Outgoing, deadline: Instant) -> Vec<u8> {
+    let left = deadline.saturating_duration_since(Instant::now());
+    let mut head = String::with_capacity(request.head.len() + 64);
+    head.push_str(&request.head);
     let _ = write!(head, "X-Time-Left-Ms: {}\r\n\r\n", left.as_millis());
     let mut bytes = head.into_bytes();
-    bytes.extend_from_slice(&message.body);
+    bytes.extend_from_slice(&request.body);
     bytes
 }
