--- a/crates/lab/src/scale/host/hollow.rs
+++ b/crates/lab/src/scale/host/hollow.rs
@@ -10,7 +10,7 @@
 use cottonpoint::config::Config;
 use cottonpoint_core::{Clock, Sidecar, target_id};
 use cottonpoint_decide::ListKind;
-use cottonpoint_net::list::{Names, Place, Watcher};
+use cottonpoint_net::list::{DiscoveryAddress, Names, Watcher};
 use cottonpoint_net::servers::{Servers, Terms};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -57,7 +57,7 @@
 struct Running {
     sidecar: Rc<Sidecar>,
     /// Held so that the follower can be told of a move for as long as it lives.
-    _moves: Sender<Place>,
+    _moves: Sender<DiscoveryAddress>,
     _follower: Task<()>,
 }
 
@@ -82,7 +82,7 @@
         let follower = Watcher {
             sidecar: sidecar.clone(),
             servers,
-            discovery: Place { address: config.discovery, pushed: false },
+            discovery: DiscoveryAddress { address: config.discovery, pushed: false },
             names,
             generation: None,
             moved,
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -30,7 +30,7 @@
 const FIRST_POLL_FRACTION: f64 = 0.36;
 /// The address of discovery, and how it publishes the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct DiscoveryAddress {
     /// The address that discovery listens on.
     pub address: SocketAddr,
     /// Whether this is an agent that lists are pushed to (`discovery` in the settings). What such
@@ -40,7 +40,7 @@
 }
 
 /// Returns the next address of discovery, or stays pending once the sender is gone.
-async fn next_discovery_address(moved: &Receiver<Place>) -> Place {
+async fn next_discovery_address(moved: &Receiver<DiscoveryAddress>) -> DiscoveryAddress {
     match moved.recv().await {
         Ok(address) => address,
         Err(_) => future::pending().await,
@@ -54,13 +54,13 @@
     /// The endpoint connections; idle ones to endpoints that take no new work are closed.
     pub servers: Rc<Servers>,
     /// The current address of discovery.
-    pub discovery: Place,
+    pub discovery: DiscoveryAddress,
     /// Maps the list's names of zones and machine kinds to indices.
     pub names: Names,
     /// The list version that is held; `None` before the first list.
     pub generation: Option<u64>,
     /// Receives the new address of discovery whenever it changes.
-    pub moved: Receiver<Place>,
+    pub moved: Receiver<DiscoveryAddress>,
     /// Source of the jitter between polls.
     pub random: fastrand::Rng,
 }
@@ -70,7 +70,7 @@
     PollEnded(PollEnd),
     /// A poll of a previous discovery address ended.
     SupersededPollEnded(PollEnd),
-    DiscoveryMoved(Place),
+    DiscoveryMoved(DiscoveryAddress),
     /// The balancer that subscribes is gone: nobody needs the list any more.
     Unsubscribed,
 }
@@ -284,7 +284,7 @@
     /// specification), so its list versions continue, and a watch brings what was missed at a
     /// fraction of the cost of the whole list. Should the versions differ, the first, short watch
     /// shows it. The current address is sent again where its list is wanted at once.
-    fn switch_discovery(&mut self, address: Place) -> (Schedule, NextPoll) {
+    fn switch_discovery(&mut self, address: DiscoveryAddress) -> (Schedule, NextPoll) {
         self.sidecar.polled(PollEvent::Moved);
         if std::mem::replace(&mut self.discovery, address) == address {
             Schedule::immediate(address.pushed)
--- a/crates/program/src/serve.rs
+++ b/crates/program/src/serve.rs
@@ -12,7 +12,7 @@
 use cottonpoint_mesh::Command;
 use cottonpoint_net::clients::Clients;
 use cottonpoint_net::console::Call;
-use cottonpoint_net::list::{Names, Place, Watcher};
+use cottonpoint_net::list::{DiscoveryAddress, Names, Watcher};
 use cottonpoint_net::servers::{Servers, Terms};
 use futures_lite::{Stream, StreamExt, future};
 use std::cell::{Cell, RefCell};
@@ -278,8 +278,11 @@
 }
 
 /// Where discovery is, by that configuration.
-fn place(config: &Config) -> Place {
-    Place { address: config.discovery, pushed: config.platform.balancer.discovery == Discovery::Pushed }
+fn place(config: &Config) -> DiscoveryAddress {
+    DiscoveryAddress {
+        address: config.discovery,
+        pushed: config.platform.balancer.discovery == Discovery::Pushed,
+    }
 }
 
 /// Waits until a connection has closed, or for the timer.
--- a/crates/program/tests/sidecar/crossing.rs
+++ b/crates/program/tests/sidecar/crossing.rs
@@ -8,7 +8,7 @@
 use crate::embedded::Embedded;
 use crate::peers::*;
 use async_io::Timer;
-use cottonpoint::net::list::Place;
+use cottonpoint::net::list::DiscoveryAddress;
 use cottonpoint::sidecar::target_id;
 use std::net::SocketAddr;
 use std::thread;
@@ -17,7 +17,7 @@
 /// A sidecar that follows discovery.
 struct Follower {
     embedded: Embedded,
-    moves: async_channel::Sender<Place>,
+    moves: async_channel::Sender<DiscoveryAddress>,
 }
 
 impl Follower {
@@ -29,7 +29,9 @@
 
     /// Names another discovery; it is heard of when the follower runs again.
     fn moves_to(&self, discovery: &Peer) {
-        self.moves.try_send(Place { address: discovery.address, pushed: false }).expect("it listens");
+        self.moves
+            .try_send(DiscoveryAddress { address: discovery.address, pushed: false })
+            .expect("it listens");
     }
 
     /// Lets it run until it has polled there.
--- a/crates/program/tests/sidecar/embedded.rs
+++ b/crates/program/tests/sidecar/embedded.rs
@@ -3,7 +3,7 @@
 use crate::peers::*;
 use async_executor::LocalExecutor;
 use cottonpoint::config::Config;
-use cottonpoint::net::list::{Names, Place, Watcher};
+use cottonpoint::net::list::{DiscoveryAddress, Names, Watcher};
 use cottonpoint::net::servers::{Servers, Terms};
 use cottonpoint::sidecar::{Clock, Executor, Sidecar};
 use std::net::SocketAddr;
@@ -43,13 +43,13 @@
     }
 
     /// Follows discovery there, from the first version on. Its places are named by what is returned.
-    pub fn follow(&self, discovery: SocketAddr) -> async_channel::Sender<Place> {
+    pub fn follow(&self, discovery: SocketAddr) -> async_channel::Sender<DiscoveryAddress> {
         let (moves, moved) = async_channel::unbounded();
         let (subscribe, subscribed) = async_channel::bounded(1);
         let watcher = Watcher {
             sidecar: self.sidecar.clone(),
             servers: self.servers.clone(),
-            discovery: Place { address: discovery, pushed: false },
+            discovery: DiscoveryAddress { address: discovery, pushed: false },
             names: self.names.clone(),
             generation: Some(1),
             moved,
