--- a/crates/net/src/console.rs
+++ b/crates/net/src/console.rs
@@ -30,7 +30,7 @@
 
 /// A command, as the operator writes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum ConsoleCommand {
     /// Asks whether this process accepts clients.
     Health,
     /// Asks for the statistics.
@@ -57,32 +57,32 @@
     }
 }
 
-impl Call {
+impl ConsoleCommand {
     /// Parses one line without its line ending. Commands are case-insensitive; endpoint names are
     /// not.
-    pub fn parse(line: &str) -> Result<Call, InvalidCommand> {
+    pub fn parse(line: &str) -> Result<ConsoleCommand, InvalidCommand> {
         let mut words = line.split_ascii_whitespace();
         let Some(name) = words.next() else { return Err(InvalidCommand("empty line".to_owned())) };
         let argument = words.next();
         if words.next().is_some() {
             return Err(InvalidCommand(format!("{name}: too many words")));
         }
-        let without_argument = |command: Call| match argument {
+        let without_argument = |command: ConsoleCommand| match argument {
             None => Ok(command),
             Some(_) => Err(InvalidCommand(format!("{name} takes no argument"))),
         };
-        let with_endpoint = |command: fn(String) -> Call| match argument {
+        let with_endpoint = |command: fn(String) -> ConsoleCommand| match argument {
             Some(argument) => Ok(command(argument.to_owned())),
             None => Err(InvalidCommand(format!("{name} wants an endpoint id"))),
         };
         match name.to_ascii_uppercase().as_str() {
-            "HEALTH" => without_argument(Call::Health),
-            "DUMP" => without_argument(Call::Dump),
-            "PEERS" => without_argument(Call::Peers),
-            "LEAVE" => without_argument(Call::Leave),
-            "JOIN" => without_argument(Call::Join),
-            "OFFLINE" => with_endpoint(Call::Offline),
-            "ONLINE" => with_endpoint(Call::Online),
+            "HEALTH" => without_argument(ConsoleCommand::Health),
+            "DUMP" => without_argument(ConsoleCommand::Dump),
+            "PEERS" => without_argument(ConsoleCommand::Peers),
+            "LEAVE" => without_argument(ConsoleCommand::Leave),
+            "JOIN" => without_argument(ConsoleCommand::Join),
+            "OFFLINE" => with_endpoint(ConsoleCommand::Offline),
+            "ONLINE" => with_endpoint(ConsoleCommand::Online),
             _ => Err(InvalidCommand(format!("unknown command {}", name.escape_debug()))),
         }
     }
@@ -103,7 +103,7 @@
 pub async fn serve(
     listener: TcpListener,
     executor: Executor,
-    answer: Rc<dyn Fn(Call) -> String>,
+    answer: Rc<dyn Fn(ConsoleCommand) -> String>,
 ) -> io::Result<()> {
     let listener = Async::new(listener)?;
     let closed = async_channel::bounded(1);
@@ -161,7 +161,7 @@
         &self,
         id: u64,
         stream: &Async<TcpStream>,
-        answer: &dyn Fn(Call) -> String,
+        answer: &dyn Fn(ConsoleCommand) -> String,
     ) -> io::Result<bool> {
         let (evict, evicted) = async_channel::bounded(1);
         self.awaiting_line.borrow_mut().insert(id, evict);
@@ -173,7 +173,7 @@
         self.awaiting_line.borrow_mut().remove(&id);
         let Some(line) = line else { return Ok(false) };
         let reply = match line.as_deref().map(std::str::from_utf8) {
-            Ok(Ok(text)) => match Call::parse(text)
+            Ok(Ok(text)) => match ConsoleCommand::parse(text)
                 .inspect(|command| tracing::debug!(call = ?command, "console command"))
             {
                 Ok(command) => answer(command),
@@ -218,18 +218,21 @@
 
     #[test]
     fn commands_are_case_insensitive_and_invalid_ones_are_reported() {
-        assert_eq!(Call::parse("HEALTH"), Ok(Call::Health));
-        assert_eq!(Call::parse("dump"), Ok(Call::Dump));
-        assert_eq!(Call::parse("PEERS"), Ok(Call::Peers));
-        assert_eq!(Call::parse("OFFLINE  t1 "), Ok(Call::Offline("t1".to_owned())));
-        assert_eq!(Call::parse("ONLINE t1"), Ok(Call::Online("t1".to_owned())));
-        assert_eq!(Call::parse("LEAVE"), Ok(Call::Leave));
-        assert_eq!(Call::parse("JOIN"), Ok(Call::Join));
-        assert_eq!(Call::parse("").unwrap_err().to_string(), "empty line");
-        assert_eq!(Call::parse("OFFLINE").unwrap_err().to_string(), "OFFLINE wants an endpoint id");
-        assert_eq!(Call::parse("LEAVE now").unwrap_err().to_string(), "LEAVE takes no argument");
-        assert_eq!(Call::parse("PING").unwrap_err().to_string(), "unknown command PING");
-        assert_eq!(Call::parse("ONLINE a b").unwrap_err().to_string(), "ONLINE: too many words");
+        assert_eq!(ConsoleCommand::parse("HEALTH"), Ok(ConsoleCommand::Health));
+        assert_eq!(ConsoleCommand::parse("dump"), Ok(ConsoleCommand::Dump));
+        assert_eq!(ConsoleCommand::parse("PEERS"), Ok(ConsoleCommand::Peers));
+        assert_eq!(ConsoleCommand::parse("OFFLINE  t1 "), Ok(ConsoleCommand::Offline("t1".to_owned())));
+        assert_eq!(ConsoleCommand::parse("ONLINE t1"), Ok(ConsoleCommand::Online("t1".to_owned())));
+        assert_eq!(ConsoleCommand::parse("LEAVE"), Ok(ConsoleCommand::Leave));
+        assert_eq!(ConsoleCommand::parse("JOIN"), Ok(ConsoleCommand::Join));
+        assert_eq!(ConsoleCommand::parse("").unwrap_err().to_string(), "empty line");
+        assert_eq!(
+            ConsoleCommand::parse("OFFLINE").unwrap_err().to_string(),
+            "OFFLINE wants an endpoint id"
+        );
+        assert_eq!(ConsoleCommand::parse("LEAVE now").unwrap_err().to_string(), "LEAVE takes no argument");
+        assert_eq!(ConsoleCommand::parse("PING").unwrap_err().to_string(), "unknown command PING");
+        assert_eq!(ConsoleCommand::parse("ONLINE a b").unwrap_err().to_string(), "ONLINE: too many words");
     }
 
     #[test]
--- a/crates/program/src/console.rs
+++ b/crates/program/src/console.rs
@@ -5,7 +5,7 @@
 use cottonpoint_core::{Sidecar, target_id};
 use cottonpoint_mesh::Command;
 use cottonpoint_net::clients::Clients;
-use cottonpoint_net::console::{Call, answer_line};
+use cottonpoint_net::console::{ConsoleCommand, answer_line};
 use serde_json::{Map, Value, json};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -46,23 +46,23 @@
     }
 
     /// The whole answer to a call.
-    pub fn answer(&self, call: Call) -> String {
+    pub fn answer(&self, call: ConsoleCommand) -> String {
         match call {
-            Call::Health if self.stopping.get() => answer_line(Err("stopping".to_owned())),
-            Call::Health => answer_line(Ok(String::new())),
+            ConsoleCommand::Health if self.stopping.get() => answer_line(Err("stopping".to_owned())),
+            ConsoleCommand::Health => answer_line(Ok(String::new())),
             // The figures stand alone, as one JSON line, then the line that ends them.
-            Call::Dump => format!("{}\n.\n", self.figures()),
-            Call::Peers => match self.fleet.as_ref().map(|fleet| fleet.handle()) {
+            ConsoleCommand::Dump => format!("{}\n.\n", self.figures()),
+            ConsoleCommand::Peers => match self.fleet.as_ref().map(|fleet| fleet.handle()) {
                 Some(Some(fleet)) => format!("{}\n.\n", fleet::figures(fleet)),
                 Some(None) => answer_line(Err("the fleet's address is held by another process".to_owned())),
                 None => answer_line(Err("the fleet is off".to_owned())),
             },
-            Call::Leave => {
+            ConsoleCommand::Leave => {
                 self.clients.drain();
                 self.fleet.iter().for_each(|fleet| fleet.tell(Command::Leave));
                 answer_line(Ok(String::new()))
             }
-            Call::Join => {
+            ConsoleCommand::Join => {
                 self.clients.join();
                 // One that ends has said its goodbye for good.
                 self.fleet
@@ -71,11 +71,11 @@
                     .for_each(|fleet| fleet.tell(Command::Join));
                 answer_line(Ok(String::new()))
             }
-            Call::Offline(name) if self.out.is_full() => {
+            ConsoleCommand::Offline(name) if self.out.is_full() => {
                 answer_line(Err(format!("{name}: {OUT_LIMIT} endpoints are out already")))
             }
-            Call::Offline(name) => self.set_out(&name, true),
-            Call::Online(name) => self.set_out(&name, false),
+            ConsoleCommand::Offline(name) => self.set_out(&name, true),
+            ConsoleCommand::Online(name) => self.set_out(&name, false),
         }
     }
 
--- a/crates/program/src/serve.rs
+++ b/crates/program/src/serve.rs
@@ -11,7 +11,7 @@
 use cottonpoint_decide::{Discovery, ListKind};
 use cottonpoint_mesh::Command;
 use cottonpoint_net::clients::Clients;
-use cottonpoint_net::console::Call;
+use cottonpoint_net::console::ConsoleCommand;
 use cottonpoint_net::list::{DiscoveryAddress, Names, Watcher};
 use cottonpoint_net::servers::{Servers, Terms};
 use futures_lite::{Stream, StreamExt, future};
@@ -155,7 +155,7 @@
     });
     let _console = console_listener.map(|listener| {
         let console = console.clone();
-        let answer: Rc<dyn Fn(Call) -> String> = Rc::new(move |call| console.answer(call));
+        let answer: Rc<dyn Fn(ConsoleCommand) -> String> = Rc::new(move |call| console.answer(call));
         executor.spawn(cottonpoint_net::console::serve(listener, executor.clone(), answer))
     });
     let _join = fleet.clone().map(|fleet| executor.spawn(async move { fleet.wait_for_address().await }));
