--- a/crates/lab/src/scale/host/hollow.rs
+++ b/crates/lab/src/scale/host/hollow.rs
@@ -11,7 +11,7 @@
 use cottonpoint_core::{Clock, Sidecar, target_id};
 use cottonpoint_decide::ListKind;
 use cottonpoint_net::list::{DiscoveryAddress, Names, Watcher};
-use cottonpoint_net::servers::{Servers, Terms};
+use cottonpoint_net::servers::{EndpointConnections, Terms};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io;
@@ -75,7 +75,7 @@
         let names = Names { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
         let (sidecar, asked) =
             Sidecar::new(platform.balancer.clone(), config.seed, Clock::start(), self.executor.clone());
-        let servers = Servers::new(terms(&config), self.executor.clone());
+        let servers = EndpointConnections::new(terms(&config), self.executor.clone());
         // The balancer comes to life with its first event.
         sidecar.listed(ListKind::Full, &[]);
         let (moves, moved) = async_channel::bounded(1);
--- a/crates/net/src/clients/mod.rs
+++ b/crates/net/src/clients/mod.rs
@@ -11,7 +11,7 @@
 pub use relay::Reply;
 pub use take_in::{AcceptedRequest, accept_request};
 
-use crate::servers::Servers;
+use crate::servers::EndpointConnections;
 use crate::within;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
@@ -60,7 +60,7 @@
 /// The state shared by all client connections.
 pub struct Clients {
     sidecar: Rc<Sidecar>,
-    servers: Rc<Servers>,
+    servers: Rc<EndpointConnections>,
     platform: RefCell<Platform>,
     executor: Executor,
     /// The maximum number of open connections.
@@ -85,7 +85,7 @@
     /// Creates the state without connections.
     pub fn new(
         sidecar: Rc<Sidecar>,
-        servers: Rc<Servers>,
+        servers: Rc<EndpointConnections>,
         platform: Platform,
         executor: Executor,
         max_connections: usize,
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -10,7 +10,7 @@
 
 pub use answer::{Answer, Names};
 
-use crate::servers::Servers;
+use crate::servers::EndpointConnections;
 use async_channel::Receiver;
 use async_io::Timer;
 use cottonpoint_core::{Listed, PollEvent, Sidecar};
@@ -52,7 +52,7 @@
     /// The sidecar that receives the lists and the outcomes of polls.
     pub sidecar: Rc<Sidecar>,
     /// The endpoint connections; idle ones to endpoints that take no new work are closed.
-    pub servers: Rc<Servers>,
+    pub servers: Rc<EndpointConnections>,
     /// The current address of discovery.
     pub discovery: DiscoveryAddress,
     /// Maps the list's names of zones and machine kinds to indices.
--- a/crates/net/src/servers/mod.rs
+++ b/crates/net/src/servers/mod.rs
@@ -69,7 +69,7 @@
 }
 
 /// The connections to all endpoints.
-pub struct Servers {
+pub struct EndpointConnections {
     terms: RefCell<Terms>,
     executor: Executor,
     idle: RefCell<HashMap<EndpointId, Vec<IdleConnection>>>,
@@ -77,13 +77,13 @@
     consecutive_timeouts: RefCell<HashMap<EndpointId, u32>>,
     next_id: Cell<u64>,
     open: Rc<Cell<usize>>,
-    weak_self: Weak<Servers>,
+    weak_self: Weak<EndpointConnections>,
 }
 
-impl Servers {
+impl EndpointConnections {
     /// Creates an empty pool.
-    pub fn new(terms: Terms, executor: Executor) -> Rc<Servers> {
-        Rc::new_cyclic(|weak_self| Servers {
+    pub fn new(terms: Terms, executor: Executor) -> Rc<EndpointConnections> {
+        Rc::new_cyclic(|weak_self| EndpointConnections {
             terms: terms.into(),
             executor,
             idle: RefCell::default(),
--- a/crates/net/src/servers/send.rs
+++ b/crates/net/src/servers/send.rs
@@ -1,6 +1,6 @@
 //! Sends one attempt to its endpoint, and translates the response into the balancer's types.
 
-use super::{Connection, Servers};
+use super::{Connection, EndpointConnections};
 use crate::origin::Origin;
 use async_io::Timer;
 use cottonpoint_codec::http::{self, Fault, Head};
@@ -89,7 +89,7 @@
 /// The outcome of an attempt, the load report of the response, and the response.
 pub type AttemptResult = (Outcome, Option<LoadReport>, EndpointResponse);
 
-impl Servers {
+impl EndpointConnections {
     /// Sends an attempt, and waits until it is answered, fails, is halted or times out. An attempt
     /// is abandoned by closing its connection.
     ///
--- a/crates/program/src/metrics.rs
+++ b/crates/program/src/metrics.rs
@@ -6,7 +6,7 @@
 use cottonpoint_codec::http;
 use cottonpoint_core::Sidecar;
 use cottonpoint_net::clients::{Clients, LINGER, close};
-use cottonpoint_net::servers::Servers;
+use cottonpoint_net::servers::EndpointConnections;
 use cottonpoint_net::{within, write_all};
 use futures_lite::future;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -42,7 +42,7 @@
     /// Client connections.
     pub clients: Rc<Clients>,
     /// Connections to targets.
-    pub servers: Rc<Servers>,
+    pub servers: Rc<EndpointConnections>,
     /// The fleet, where it is on.
     pub fleet: Option<Rc<Membership>>,
 }
--- a/crates/program/src/serve.rs
+++ b/crates/program/src/serve.rs
@@ -13,7 +13,7 @@
 use cottonpoint_net::clients::Clients;
 use cottonpoint_net::console::ConsoleCommand;
 use cottonpoint_net::list::{DiscoveryAddress, Names, Watcher};
-use cottonpoint_net::servers::{Servers, Terms};
+use cottonpoint_net::servers::{EndpointConnections, Terms};
 use futures_lite::{Stream, StreamExt, future};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -105,7 +105,7 @@
     let clock = Clock::start();
     let (sidecar, asked) = Sidecar::new(platform.balancer.clone(), config.seed, clock, executor.clone());
     sidecar.set_drain_grace(platform.drain_grace);
-    let servers = Servers::new(terms(&config), executor.clone());
+    let servers = EndpointConnections::new(terms(&config), executor.clone());
     // The balancer comes to life with its first event: it is told of an empty list too.
     let known = config.known.as_ref().and_then(|k| k.listed(&names).ok());
     let (kind, listed) = known.unwrap_or((ListKind::Full, Vec::new()));
--- a/crates/program/tests/sidecar/embedded.rs
+++ b/crates/program/tests/sidecar/embedded.rs
@@ -4,7 +4,7 @@
 use async_executor::LocalExecutor;
 use cottonpoint::config::Config;
 use cottonpoint::net::list::{DiscoveryAddress, Names, Watcher};
-use cottonpoint::net::servers::{Servers, Terms};
+use cottonpoint::net::servers::{EndpointConnections, Terms};
 use cottonpoint::sidecar::{Clock, Executor, Sidecar};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 pub struct Embedded {
     pub executor: Executor,
     pub sidecar: Rc<Sidecar>,
-    pub servers: Rc<Servers>,
+    pub servers: Rc<EndpointConnections>,
     names: Names,
 }
 
@@ -34,7 +34,7 @@
             fields: platform.fields,
             field_names: platform.field_names,
         };
-        let servers = Servers::new(terms, executor.clone());
+        let servers = EndpointConnections::new(terms, executor.clone());
         let names = Names { zones: platform.zones, kinds: platform.kinds };
         let known = config.known.expect("a list");
         let (kind, listed) = known.listed(&names).expect("a good list");
