--- a/crates/lab/src/scale/host/hollow.rs
+++ b/crates/lab/src/scale/host/hollow.rs
@@ -11,7 +11,7 @@
 use cottonpoint_core::{Clock, Sidecar, target_id};
 use cottonpoint_decide::ListKind;
 use cottonpoint_net::list::{DiscoveryAddress, Names, Watcher};
-use cottonpoint_net::servers::{EndpointConnections, Terms};
+use cottonpoint_net::servers::{EndpointConnections, PoolSettings};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io;
@@ -114,11 +114,11 @@
     }
 }
 
-fn terms(config: &Config) -> Terms {
-    Terms {
+fn terms(config: &Config) -> PoolSettings {
+    PoolSettings {
         connect_timeout: config.platform.connect_timeout,
-        idle: config.platform.conn_idle,
-        connections: config.target_connections,
+        idle_timeout: config.platform.conn_idle,
+        max_connections: config.target_connections,
         fields: config.platform.fields.clone(),
         field_names: config.platform.field_names.clone(),
     }
--- a/crates/net/src/servers/mod.rs
+++ b/crates/net/src/servers/mod.rs
@@ -30,13 +30,13 @@
 
 /// The settings of the connection pool.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct PoolSettings {
     /// The timeout of a connect.
     pub connect_timeout: Duration,
     /// An idle connection is closed after this time.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// The maximum number of connections, in use and idle.
-    pub connections: usize,
+    pub max_connections: usize,
     /// The positions of the values in a load report.
     pub fields: ReportFields,
     /// The names of the values in a load report.
@@ -70,7 +70,7 @@
 
 /// The connections to all endpoints.
 pub struct EndpointConnections {
-    terms: RefCell<Terms>,
+    settings: RefCell<PoolSettings>,
     executor: Executor,
     idle: RefCell<HashMap<EndpointId, Vec<IdleConnection>>>,
     /// The number of consecutive attempts per endpoint that timed out without a response.
@@ -82,9 +82,9 @@
 
 impl EndpointConnections {
     /// Creates an empty pool.
-    pub fn new(terms: Terms, executor: Executor) -> Rc<EndpointConnections> {
+    pub fn new(settings: PoolSettings, executor: Executor) -> Rc<EndpointConnections> {
         Rc::new_cyclic(|weak_self| EndpointConnections {
-            terms: terms.into(),
+            settings: settings.into(),
             executor,
             idle: RefCell::default(),
             consecutive_timeouts: RefCell::default(),
@@ -95,8 +95,8 @@
     }
 
     /// Replaces the settings.
-    pub fn set_terms(&self, terms: Terms) {
-        self.terms.replace(terms);
+    pub fn set_pool_settings(&self, settings: PoolSettings) {
+        self.settings.replace(settings);
     }
 
     /// The number of open connections, in use and idle.
@@ -105,12 +105,12 @@
     }
 
     fn connect_timeout(&self) -> Duration {
-        self.terms.borrow().connect_timeout
+        self.settings.borrow().connect_timeout
     }
 
     /// The maximum number of connections.
     pub fn max_connections(&self) -> usize {
-        self.terms.borrow().connections
+        self.settings.borrow().max_connections
     }
 
     /// Closes the idle connections to endpoints that are no longer wanted.
@@ -196,7 +196,7 @@
         let id = self.next_id.get();
         self.next_id.set(id + 1);
         let (weak_self, stream, idle_timeout) =
-            (self.weak_self.clone(), connection.stream.clone(), self.terms.borrow().idle);
+            (self.weak_self.clone(), connection.stream.clone(), self.settings.borrow().idle_timeout);
         let monitor = self.executor.spawn(async move {
             let closed = async {
                 let _ = stream.readable().await;
--- a/crates/net/src/servers/send.rs
+++ b/crates/net/src/servers/send.rs
@@ -195,16 +195,16 @@
     /// Parses the load report of a response; one that is invalid in any part is ignored.
     fn report(&self, head: &Head) -> Option<LoadReport> {
         let text = head.only("x-backend-load").ok()??;
-        let terms = self.terms.borrow();
-        let mut values = vec![None; terms.field_names.len()];
+        let settings = self.settings.borrow();
+        let mut values = vec![None; settings.field_names.len()];
         for pair in text.split(',') {
             let (name, value) = pair.split_once('=')?;
             let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0)?;
-            if let Some(i) = terms.field_names.iter().position(|n| n == name.trim()) {
+            if let Some(i) = settings.field_names.iter().position(|n| n == name.trim()) {
                 values[i] = Some(value);
             }
         }
-        Some(terms.fields.report(|i| *values.get(i)?))
+        Some(settings.fields.report(|i| *values.get(i)?))
     }
 }
 
--- a/crates/program/src/serve.rs
+++ b/crates/program/src/serve.rs
@@ -13,7 +13,7 @@
 use cottonpoint_net::clients::Clients;
 use cottonpoint_net::console::ConsoleCommand;
 use cottonpoint_net::list::{DiscoveryAddress, Names, Watcher};
-use cottonpoint_net::servers::{EndpointConnections, Terms};
+use cottonpoint_net::servers::{EndpointConnections, PoolSettings};
 use futures_lite::{Stream, StreamExt, future};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -185,7 +185,7 @@
                         let _ = moves.try_send(place(&config));
                     }
                     bounded.set_bound(bounds(&config).0);
-                    servers.set_terms(terms(&config));
+                    servers.set_pool_settings(terms(&config));
                     tracing::info!("{}", current.change_to(*config));
                 }
                 Word::Reload(Err(fault)) => {
@@ -251,13 +251,13 @@
 }
 
 /// What the pool of connections to targets goes by.
-fn terms(config: &Config) -> Terms {
+fn terms(config: &Config) -> PoolSettings {
     let platform = &config.platform;
-    Terms {
+    PoolSettings {
         connect_timeout: platform.connect_timeout,
         // Well before the other side closes it under a request.
-        idle: platform.conn_idle.mul_f64(0.7),
-        connections: bounds(config).1,
+        idle_timeout: platform.conn_idle.mul_f64(0.7),
+        max_connections: bounds(config).1,
         fields: platform.fields.clone(),
         field_names: platform.field_names.clone(),
     }
--- a/crates/program/tests/sidecar/embedded.rs
+++ b/crates/program/tests/sidecar/embedded.rs
@@ -4,7 +4,7 @@
 use async_executor::LocalExecutor;
 use cottonpoint::config::Config;
 use cottonpoint::net::list::{DiscoveryAddress, Names, Watcher};
-use cottonpoint::net::servers::{EndpointConnections, Terms};
+use cottonpoint::net::servers::{EndpointConnections, PoolSettings};
 use cottonpoint::sidecar::{Clock, Executor, Sidecar};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,17 +20,17 @@
 
 impl Embedded {
     /// One with those endpoints and as many connections to them at most, each given up after that time.
-    pub fn new(endpoints: &[String], connections: usize, connect_timeout: Duration) -> Embedded {
+    pub fn new(endpoints: &[String], max_connections: usize, connect_timeout: Duration) -> Embedded {
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
         let text = config(nowhere, &list(1, true, endpoints), 1024);
         let config = Config::parse(&text, |_| None).expect("a good configuration");
         let platform = config.platform;
         let executor: Executor = Rc::new(LocalExecutor::new());
         let (sidecar, _) = Sidecar::new(platform.balancer, 1, Clock::start(), executor.clone());
-        let terms = Terms {
+        let terms = PoolSettings {
             connect_timeout,
-            idle: platform.conn_idle,
-            connections,
+            idle_timeout: platform.conn_idle,
+            max_connections,
             fields: platform.fields,
             field_names: platform.field_names,
         };
