--- a/crates/net/src/clients/mod.rs
+++ b/crates/net/src/clients/mod.rs
@@ -78,7 +78,7 @@
     /// Set once the process has been told to stop and continues to serve for a while.
     stop: Cell<Option<Stop>>,
     closed: (Sender<()>, Receiver<()>),
-    last_call: (Sender<()>, Receiver<()>),
+    stop_accepting: (Sender<()>, Receiver<()>),
 }
 
 impl Clients {
@@ -105,11 +105,11 @@
             stopping: Cell::new(false),
             stop: Cell::new(None),
             closed: async_channel::bounded(1),
-            last_call: async_channel::bounded(1),
+            stop_accepting: async_channel::bounded(1),
         })
     }
 
-    /// Accepts connections until [`Clients::last_call`], then those that are still queued: they
+    /// Accepts connections until [`Clients::stop_accepting`], then those that are still queued: they
     /// have reached this process, and closing the listener would reset them. Connections without an
     /// open request may be closed to make room; one with an open request never is.
     pub async fn accept(self: Rc<Self>, listener: Async<TcpListener>) {
@@ -118,7 +118,7 @@
             while self.open.get() >= self.max_connections.get() {
                 self.scarce.set(true);
                 self.evict_one(&EVICT_AT_MAXIMUM);
-                future::or(self.one_closed(), accept_retry_delay()).await;
+                future::or(self.wait_for_close(), accept_retry_delay()).await;
             }
             match listener.get_ref().accept() {
                 Ok((stream, _)) => {
@@ -132,7 +132,7 @@
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock && last_round => return,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    let stopped = async { self.last_call.1.recv().await.is_ok() };
+                    let stopped = async { self.stop_accepting.1.recv().await.is_ok() };
                     let incoming = async {
                         if listener.readable().await.is_err() {
                             accept_retry_delay().await;
@@ -165,8 +165,8 @@
 
     /// Stops accepting: connections that are queued are still served, and then the listener is
     /// closed, so that all new ones go to the other process that shares the address.
-    pub fn last_call(&self) {
-        let _ = self.last_call.0.try_send(());
+    pub fn stop_accepting(&self) {
+        let _ = self.stop_accepting.0.try_send(());
     }
 
     /// Sets the classes, tenants and rules for requests that are accepted from now on.
@@ -175,13 +175,13 @@
     }
 
     /// Sets the maximum number of open connections.
-    pub fn set_bound(&self, max_connections: usize) {
+    pub fn set_max_connections(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
     }
 
     /// Starts the stop of the process: it reports not ready, but continues to serve existing
-    /// connections until [`Clients::leave`]. Each new request has the time of the stop's last
-    /// answer as its latest deadline.
+    /// connections until [`Clients::close_after_next_response`]. Each new request has the time of the
+    /// stop's last answer as its latest deadline.
     pub fn stop(&self) -> Stop {
         let classes = &self.platform.borrow().balancer.classes;
         let longest = classes.iter().map(|c| c.give_up).max().unwrap_or_default();
@@ -191,7 +191,7 @@
     }
 
     /// Reports not ready from now on, and closes each connection after its next response.
-    pub fn leave(&self) {
+    pub fn close_after_next_response(&self) {
         let now = self.sidecar.clock().now();
         self.stop.set(self.stop.get().map(|stop| stop.give_back(now)));
         self.stopping.set(true);
@@ -199,8 +199,8 @@
 
     /// Starts a drain while the process continues to run: it reports not ready, each connection
     /// closes after its next response, and connections are closed as they become idle, until
-    /// [`Clients::join`].
-    pub fn drain(self: &Rc<Self>) {
+    /// [`Clients::end_drain`].
+    pub fn start_drain(self: &Rc<Self>) {
         if self.draining.replace(true) {
             return;
         }
@@ -217,7 +217,7 @@
     }
 
     /// Ends a drain: the process reports ready again, and connections are kept open.
-    pub fn join(&self) {
+    pub fn end_drain(&self) {
         self.draining.set(false);
     }
 
@@ -237,7 +237,7 @@
     }
 
     /// Waits until a connection has closed since the last call.
-    pub async fn one_closed(&self) {
+    pub async fn wait_for_close(&self) {
         let _ = self.closed.1.recv().await;
     }
 
--- a/crates/program/src/console.rs
+++ b/crates/program/src/console.rs
@@ -58,12 +58,12 @@
                 None => answer_line(Err("the fleet is off".to_owned())),
             },
             ConsoleCommand::Leave => {
-                self.clients.drain();
+                self.clients.start_drain();
                 self.fleet.iter().for_each(|fleet| fleet.tell(Command::Leave));
                 answer_line(Ok(String::new()))
             }
             ConsoleCommand::Join => {
-                self.clients.join();
+                self.clients.end_drain();
                 // One that ends has said its goodbye for good.
                 self.fleet
                     .iter()
--- a/crates/program/src/serve.rs
+++ b/crates/program/src/serve.rs
@@ -184,7 +184,7 @@
                     if place(&config) != place(&current) {
                         let _ = moves.try_send(place(&config));
                     }
-                    bounded.set_bound(bounds(&config).0);
+                    bounded.set_max_connections(bounds(&config).0);
                     servers.set_pool_settings(terms(&config));
                     tracing::info!("{}", current.change_to(*config));
                 }
@@ -209,11 +209,11 @@
         let look = stop.gives_back_at().min(now() + FOLLOW_EVERY);
         one_closed_or(&clients, Timer::at(clock.instant(look))).await;
     }
-    clients.leave();
+    clients.close_after_next_response();
     if followed() {
         // A newer process shares the clients' address: what comes goes there from now on.
         tracing::info!("a newer process serves beside this one: it takes all new connections");
-        clients.last_call();
+        clients.stop_accepting();
         Timer::after(CLOSE_IDLE).await;
     }
     let nobody_is_left = async || {
@@ -224,7 +224,7 @@
     };
     nobody_is_left().await;
     // Who came in the very last moment stands in the listener's queue: closing it would reset what was sent.
-    clients.last_call();
+    clients.stop_accepting();
     accept.await;
     nobody_is_left().await;
     // Who was told yes for an endpoint out by hand may count on it at the next start. A disk that hangs is waited
@@ -287,7 +287,7 @@
 
 /// Waits until a connection has closed, or for the timer.
 async fn one_closed_or(clients: &Clients, timer: Timer) {
-    future::or(clients.one_closed(), async {
+    future::or(clients.wait_for_close(), async {
         timer.await;
     })
     .await;
