--- a/crates/net/src/console.rs
+++ b/crates/net/src/console.rs
@@ -25,7 +25,7 @@
 const LINE_TIMEOUT: Duration = Duration::from_millis(4500);
 /// The maximum number of connections. Beyond it, the connection that has waited longest without a
 /// complete line is closed to make room. Each holds one descriptor.
-pub const AT_ONCE: usize = 32;
+pub const MAX_CONNECTIONS: usize = 32;
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// A command, as the operator writes it.
@@ -110,7 +110,7 @@
     let connections =
         Rc::new(OpenConnections { open: Cell::default(), closed, awaiting_line: RefCell::default() });
     for id in 0.. {
-        while connections.open.get() >= AT_ONCE {
+        while connections.open.get() >= MAX_CONNECTIONS {
             if let Some((_, evict)) = connections.awaiting_line.borrow_mut().pop_first() {
                 let _ = evict.try_send(());
             }
--- a/crates/program/src/config.rs
+++ b/crates/program/src/config.rs
@@ -168,7 +168,7 @@
             None => None,
             given => Some(address("console", given, "NODE_CONSOLE")?),
         };
-        let callers = console.map_or(0, |_| cottonpoint_net::console::AT_ONCE);
+        let callers = console.map_or(0, |_| cottonpoint_net::console::MAX_CONNECTIONS);
         let spare = usize::try_from(sockets).unwrap_or(usize::MAX).min(1 << 16) - RESERVE - callers;
         let state = variable("TMPDIR").filter(|dir| !dir.is_empty()).map(PathBuf::from);
         Ok(Config {
--- a/crates/program/src/serve.rs
+++ b/crates/program/src/serve.rs
@@ -32,7 +32,7 @@
 /// Descriptors for all else, at most: three standard streams, three of the event loop, two for signals, the listeners
 /// of clients, console and metrics, discovery, a call for the metrics, the fleet's socket, two files: 16, rounded up
 /// to 24; and the console's callers.
-const OWN_DESCRIPTORS: usize = 24 + cottonpoint_net::console::AT_ONCE;
+const OWN_DESCRIPTORS: usize = 24 + cottonpoint_net::console::MAX_CONNECTIONS;
 
 /// How often the file of endpoints out by hand is read again, for what a process beside this one wrote: well
 /// within the grace of a drain.
