--- a/crates/net/src/clients/close.rs
+++ b/crates/net/src/clients/close.rs
@@ -9,7 +9,7 @@
 
 /// After its last response a connection is read for this long before it is closed, so that a reset
 /// does not destroy the response.
-pub const LINGER: Duration = Duration::from_millis(700);
+pub const LINGERING_TIMEOUT: Duration = Duration::from_millis(700);
 /// The size of the buffer for data to discard.
 const DISCARD_BYTES: usize = 4096;
 
@@ -37,8 +37,9 @@
     pub(super) async fn close_client(&self, stream: &Async<TcpStream>, last_response: Option<Instant>) {
         // Where connections are scarce, one without a recent response is closed at once: a reset
         // destroys nothing there.
-        let recent_response = last_response.is_some_and(|written_at| written_at.elapsed() < LINGER);
-        let limit = if recent_response || !self.scarce.get() { LINGER } else { Duration::ZERO };
+        let recent_response =
+            last_response.is_some_and(|written_at| written_at.elapsed() < LINGERING_TIMEOUT);
+        let limit = if recent_response || !self.scarce.get() { LINGERING_TIMEOUT } else { Duration::ZERO };
         self.run_evictable(Stage::Closing, close(stream, limit)).await;
     }
 }
--- a/crates/net/src/clients/mod.rs
+++ b/crates/net/src/clients/mod.rs
@@ -7,7 +7,7 @@
 mod relay;
 mod take_in;
 
-pub use close::{LINGER, close};
+pub use close::{LINGERING_TIMEOUT, close};
 pub use relay::Reply;
 pub use take_in::{AcceptedRequest, accept_request};
 
--- a/crates/net/src/console.rs
+++ b/crates/net/src/console.rs
@@ -3,7 +3,7 @@
 //! the function that executes commands. This module handles lines, limits and timers, so that no
 //! operator, silent or slow, occupies any resource of the data path.
 
-use crate::clients::{LINGER, close};
+use crate::clients::{LINGERING_TIMEOUT, close};
 use crate::within;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
@@ -132,7 +132,7 @@
                 let answered = within(LINE_TIMEOUT, connections.serve_one(id, &stream, &*answer)).await;
                 connections.awaiting_line.borrow_mut().remove(&id);
                 let was_answered = answered.unwrap_or(false);
-                close(&stream, if was_answered { LINGER } else { Duration::ZERO }).await;
+                close(&stream, if was_answered { LINGERING_TIMEOUT } else { Duration::ZERO }).await;
                 connections.open.set(connections.open.get() - 1);
                 let _ = connections.closed.0.try_send(());
             })
--- a/crates/program/src/metrics.rs
+++ b/crates/program/src/metrics.rs
@@ -5,7 +5,7 @@
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http;
 use cottonpoint_core::Sidecar;
-use cottonpoint_net::clients::{Clients, LINGER, close};
+use cottonpoint_net::clients::{Clients, LINGERING_TIMEOUT, close};
 use cottonpoint_net::servers::EndpointConnections;
 use cottonpoint_net::{within, write_all};
 use futures_lite::future;
@@ -144,7 +144,7 @@
             match listener.accept().await {
                 Ok((stream, _)) => {
                     let answered = within(PATIENCE, self.answer(&stream)).await.is_ok();
-                    close(&stream, if answered { LINGER } else { Duration::ZERO }).await;
+                    close(&stream, if answered { LINGERING_TIMEOUT } else { Duration::ZERO }).await;
                 }
                 Err(_) => drop(Timer::after(ACCEPT_AGAIN).await),
             }
