--- a/crates/net/src/clients/close.rs
+++ b/crates/net/src/clients/close.rs
@@ -1,7 +1,7 @@
 //! Closing connections: all connections that the sidecar accepts end in the same way.
 
 use super::{Clients, Stage};
-use crate::within;
+use crate::with_timeout;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, future};
 use std::net::{Shutdown, TcpStream};
@@ -28,7 +28,7 @@
         }
         Ok(())
     };
-    let _ = within(limit, drained).await;
+    let _ = with_timeout(limit, drained).await;
 }
 
 impl Clients {
--- a/crates/net/src/clients/mod.rs
+++ b/crates/net/src/clients/mod.rs
@@ -12,7 +12,7 @@
 pub use take_in::{AcceptedRequest, accept_request};
 
 use crate::servers::EndpointConnections;
-use crate::within;
+use crate::with_timeout;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
@@ -275,7 +275,7 @@
             // its share.
             let keep = keep && !reply.closes_connection() && !self.is_draining();
             let bytes = reply.to_bytes(keep);
-            let sent = within(WRITE_TIMEOUT, crate::write_all(stream, &bytes)).await;
+            let sent = with_timeout(WRITE_TIMEOUT, crate::write_all(stream, &bytes)).await;
             last_response = Some(Instant::now());
             if sent.is_err() || !keep {
                 break;
--- a/crates/net/src/console.rs
+++ b/crates/net/src/console.rs
@@ -4,7 +4,7 @@
 //! operator, silent or slow, occupies any resource of the data path.
 
 use crate::clients::{LINGERING_TIMEOUT, close};
-use crate::within;
+use crate::with_timeout;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use cottonpoint_core::Executor;
@@ -129,7 +129,8 @@
         executor
             .spawn(async move {
                 let _ = stream.get_ref().set_nodelay(true);
-                let answered = within(LINE_TIMEOUT, connections.serve_one(id, &stream, &*answer)).await;
+                let answered =
+                    with_timeout(LINE_TIMEOUT, connections.serve_one(id, &stream, &*answer)).await;
                 connections.awaiting_line.borrow_mut().remove(&id);
                 let was_answered = answered.unwrap_or(false);
                 close(&stream, if was_answered { LINGERING_TIMEOUT } else { Duration::ZERO }).await;
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 /// Runs a future for at most `limit`, and fails with `TimedOut` after that.
-pub async fn within<T>(limit: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+pub async fn with_timeout<T>(limit: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     with_deadline(Instant::now() + limit, work).await
 }
 
@@ -60,7 +60,7 @@
             return Err(Fault::Broken);
         }
         let answer = async { Ok(http::read_one_answer(buffer, stream, limit).await) };
-        let answer = within(completion_timeout, answer).await.unwrap_or(Err(Fault::Stalled))?;
+        let answer = with_timeout(completion_timeout, answer).await.unwrap_or(Err(Fault::Stalled))?;
         if let Some(answer) = answer {
             return Ok(answer);
         }
--- a/crates/net/src/list/poll.rs
+++ b/crates/net/src/list/poll.rs
@@ -3,7 +3,7 @@
 
 use super::evidence::{connect_outcome, exchange_outcome};
 use super::schedule::{ANSWER_COMPLETION_TIMEOUT, PollOutcome, Schedule, local_fault_backoff};
-use crate::within;
+use crate::with_timeout;
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http::Fault;
@@ -149,7 +149,7 @@
         let timeout = self.schedule.connect_timeout();
         let first_started_at = started_at.get();
         loop {
-            let connected = within(timeout, Async::<TcpStream>::connect(self.address)).await;
+            let connected = with_timeout(timeout, Async::<TcpStream>::connect(self.address)).await;
             let error =
                 match connected.and_then(|stream| stream.get_ref().set_nodelay(true).map(|()| stream)) {
                     Ok(stream) => return Ok(Connection { stream, buffer: Buffer::default() }),
@@ -194,7 +194,7 @@
         };
         let on_timeout = PollOutcome::Silent { waits: !hold_time.is_zero() };
         let timeout = self.schedule.answer_timeout(hold_time, started_at.elapsed());
-        match within(timeout, exchange).await {
+        match with_timeout(timeout, exchange).await {
             Ok(Ok((_, status, body, reusable))) => Ok((status, body, reusable)),
             Ok(Err(fault)) => Err(PollFailure::of(fault, on_timeout)),
             Err(error) => Err(PollFailure { outcome: exchange_outcome(&error, on_timeout), error }),
--- a/crates/net/src/servers/mod.rs
+++ b/crates/net/src/servers/mod.rs
@@ -175,7 +175,7 @@
         self.open.set(self.open.get() + 1);
         let guard = ConnectionGuard(self.open.clone());
         let connect = Async::<TcpStream>::connect(endpoint.address);
-        let stream = super::within(self.connect_timeout(), connect).await?;
+        let stream = super::with_timeout(self.connect_timeout(), connect).await?;
         stream.get_ref().set_nodelay(true)?;
         let (stream, buffer) = (Rc::new(stream), Buffer::default());
         Ok(Connection { stream, buffer, address: endpoint.address, _guard: guard })
--- a/crates/program/src/metrics.rs
+++ b/crates/program/src/metrics.rs
@@ -7,7 +7,7 @@
 use cottonpoint_core::Sidecar;
 use cottonpoint_net::clients::{Clients, LINGERING_TIMEOUT, close};
 use cottonpoint_net::servers::EndpointConnections;
-use cottonpoint_net::{within, write_all};
+use cottonpoint_net::{with_timeout, write_all};
 use futures_lite::future;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -143,7 +143,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let answered = within(PATIENCE, self.answer(&stream)).await.is_ok();
+                    let answered = with_timeout(PATIENCE, self.answer(&stream)).await.is_ok();
                     close(&stream, if answered { LINGERING_TIMEOUT } else { Duration::ZERO }).await;
                 }
                 Err(_) => drop(Timer::after(ACCEPT_AGAIN).await),
