--- a/crates/net/src/clients/take_in.rs
+++ b/crates/net/src/clients/take_in.rs
@@ -1,7 +1,7 @@
 //! Request admission: validates a client's request and accepts it, or answers it locally.
 
 use super::relay::Reply;
-use crate::servers::Outgoing;
+use crate::servers::OutgoingRequest;
 use cottonpoint_codec::http::{self, Fault, Framing, Head};
 use cottonpoint_decide::*;
 use cottonpoint_settings::Platform;
@@ -22,7 +22,7 @@
     /// How long the client waits.
     pub time_left: Duration,
     /// The request to send to endpoints.
-    pub outgoing: Outgoing,
+    pub outgoing: OutgoingRequest,
 }
 
 /// The response to a request that could not be read; `None` where the connection is gone.
@@ -108,7 +108,7 @@
         },
         None => class_settings.give_up,
     };
-    let outgoing = Outgoing { head: forwarded_head(head, body.len()), body };
+    let outgoing = OutgoingRequest { head: forwarded_head(head, body.len()), body };
     let class_name = platform.classes[class].clone();
     Ok(AcceptedRequest {
         class: ClassId(class as u16),
--- a/crates/net/src/servers/mod.rs
+++ b/crates/net/src/servers/mod.rs
@@ -2,7 +2,7 @@
 
 mod send;
 
-pub use send::{EndpointResponse, Outgoing};
+pub use send::{EndpointResponse, OutgoingRequest};
 
 use async_executor::Task;
 use async_io::{Async, Timer};
--- a/crates/net/src/servers/send.rs
+++ b/crates/net/src/servers/send.rs
@@ -24,7 +24,7 @@
 
 /// A request as it is sent to endpoints, without the header for the time left.
 #[derive(Clone, Debug)]
-pub struct Outgoing {
+pub struct OutgoingRequest {
     /// The request line and the forwarded headers, each line with its line ending.
     pub head: String,
     /// The body.
@@ -99,7 +99,7 @@
         &self,
         attempt: &Attempt,
         deadline: Instant,
-        request: &Outgoing,
+        request: &OutgoingRequest,
         client_waits: impl Fn() -> bool,
         on_written: impl FnOnce(),
     ) -> AttemptResult {
@@ -130,7 +130,7 @@
         &self,
         attempt: &Attempt,
         deadline: Instant,
-        request: &Outgoing,
+        request: &OutgoingRequest,
         progress: &Cell<Progress>,
         client_waits: impl Fn() -> bool,
         on_written: impl FnOnce(),
@@ -250,7 +250,7 @@
     Ok(())
 }
 
-fn serialize(request: &Outgoing, deadline: Instant) -> Vec<u8> {
+fn serialize(request: &OutgoingRequest, deadline: Instant) -> Vec<u8> {
     let left = deadline.saturating_duration_since(Instant::now());
     let mut head = String::with_capacity(request.head.len() + 64);
     head.push_str(&request.head);
--- a/crates/program/tests/sidecar/local_faults.rs
+++ b/crates/program/tests/sidecar/local_faults.rs
@@ -6,7 +6,7 @@
 use crate::embedded::Embedded;
 use crate::peers::*;
 use crate::repeats::narrow;
-use cottonpoint::net::servers::Outgoing;
+use cottonpoint::net::servers::OutgoingRequest;
 use cottonpoint::sidecar::{NewFlow, Step};
 use cottonpoint::{ClassId, Outcome};
 use std::net::{SocketAddr, TcpStream};
@@ -27,7 +27,7 @@
     let embedded = Embedded::new(&[line("t0", endpoint, "active")], connections, connect_timeout);
     let due = embedded.sidecar.clock().now() + ms(3000);
     let flow = embedded.sidecar.admit(NewFlow { class: ClassId(0), tenant: None, due });
-    let message = Outgoing { head: "GET /look HTTP/1.1\r\n".to_owned(), body: Vec::new() };
+    let message = OutgoingRequest { head: "GET /look HTTP/1.1\r\n".to_owned(), body: Vec::new() };
     embedded.run(async {
         let Step::Attempt(attempt) = flow.route().await else { panic!("it is sent") };
         let until = Instant::now() + given_up;
