--- a/crates/lab/src/scale/host/hollow.rs
+++ b/crates/lab/src/scale/host/hollow.rs
@@ -10,7 +10,7 @@
 use cottonpoint::config::Config;
 use cottonpoint_core::{Clock, Sidecar, target_id};
 use cottonpoint_decide::ListKind;
-use cottonpoint_net::list::{DiscoveryAddress, Names, Watcher};
+use cottonpoint_net::list::{DiscoveryAddress, NameTable, Watcher};
 use cottonpoint_net::servers::{EndpointConnections, PoolSettings};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -72,7 +72,7 @@
         let text = configuration(index, discovery, 0).to_string();
         let config = Config::parse(&text, |_| None).map_err(|bad| bad.to_string())?;
         let platform = &config.platform;
-        let names = Names { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
+        let names = NameTable { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
         let (sidecar, asked) =
             Sidecar::new(platform.balancer.clone(), config.seed, Clock::start(), self.executor.clone());
         let servers = EndpointConnections::new(terms(&config), self.executor.clone());
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -8,7 +8,7 @@
 mod schedule;
 mod superseded;
 
-pub use answer::{Answer, Names};
+pub use answer::{Answer, NameTable};
 
 use crate::servers::EndpointConnections;
 use async_channel::Receiver;
@@ -56,7 +56,7 @@
     /// The current address of discovery.
     pub discovery: DiscoveryAddress,
     /// Maps the list's names of zones and machine kinds to indices.
-    pub names: Names,
+    pub names: NameTable,
     /// The list version that is held; `None` before the first list.
     pub generation: Option<u64>,
     /// Receives the new address of discovery whenever it changes.
--- a/crates/net/src/list/answer.rs
+++ b/crates/net/src/list/answer.rs
@@ -34,7 +34,7 @@
 
 /// The names of zones and machine kinds in lists, in the order of the settings.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct NameTable {
     /// The names of zones.
     pub zones: Vec<String>,
     /// The names of machine kinds.
@@ -48,7 +48,7 @@
 
 impl Answer {
     /// Converts the answer to the core's types. An unknown lifecycle is an error.
-    pub fn listed(&self, names: &Names) -> Result<(ListKind, Vec<Listed>), String> {
+    pub fn listed(&self, names: &NameTable) -> Result<(ListKind, Vec<Listed>), String> {
         let kind = if self.reset { ListKind::Full } else { ListKind::Delta };
         let listed = self.instances.iter().map(|instance| {
             let lifecycle = match instance.lifecycle.as_str() {
--- a/crates/program/src/config.rs
+++ b/crates/program/src/config.rs
@@ -1,6 +1,6 @@
 //! The sidecar's configuration: the one place that reads it, checks it and gives defaults.
 
-use cottonpoint_net::list::{Answer, Names};
+use cottonpoint_net::list::{Answer, NameTable};
 use cottonpoint_settings::{self as settings, BadSetting, Platform};
 use serde::Deserialize;
 use std::collections::HashMap;
@@ -159,7 +159,7 @@
         let mut known = file.known;
         if let Some(known) = &mut known {
             known.reset = true;
-            let names = Names { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
+            let names = NameTable { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
             known.listed(&names).map_err(|e| bad("known", e))?;
         }
         // A flow holds a connection on either side; clients keep some more, and as many again come with no
--- a/crates/program/src/serve.rs
+++ b/crates/program/src/serve.rs
@@ -12,7 +12,7 @@
 use cottonpoint_mesh::Command;
 use cottonpoint_net::clients::Clients;
 use cottonpoint_net::console::ConsoleCommand;
-use cottonpoint_net::list::{DiscoveryAddress, Names, Watcher};
+use cottonpoint_net::list::{DiscoveryAddress, NameTable, Watcher};
 use cottonpoint_net::servers::{EndpointConnections, PoolSettings};
 use futures_lite::{Stream, StreamExt, future};
 use std::cell::{Cell, RefCell};
@@ -101,7 +101,7 @@
     executor: Executor,
 ) -> io::Result<()> {
     let platform = config.platform.clone();
-    let names = Names { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
+    let names = NameTable { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
     let clock = Clock::start();
     let (sidecar, asked) = Sidecar::new(platform.balancer.clone(), config.seed, clock, executor.clone());
     sidecar.set_drain_grace(platform.drain_grace);
--- a/crates/program/tests/sidecar/embedded.rs
+++ b/crates/program/tests/sidecar/embedded.rs
@@ -3,7 +3,7 @@
 use crate::peers::*;
 use async_executor::LocalExecutor;
 use cottonpoint::config::Config;
-use cottonpoint::net::list::{DiscoveryAddress, Names, Watcher};
+use cottonpoint::net::list::{DiscoveryAddress, NameTable, Watcher};
 use cottonpoint::net::servers::{EndpointConnections, PoolSettings};
 use cottonpoint::sidecar::{Clock, Executor, Sidecar};
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
     pub executor: Executor,
     pub sidecar: Rc<Sidecar>,
     pub servers: Rc<EndpointConnections>,
-    names: Names,
+    names: NameTable,
 }
 
 impl Embedded {
@@ -35,7 +35,7 @@
             field_names: platform.field_names,
         };
         let servers = EndpointConnections::new(terms, executor.clone());
-        let names = Names { zones: platform.zones, kinds: platform.kinds };
+        let names = NameTable { zones: platform.zones, kinds: platform.kinds };
         let known = config.known.expect("a list");
         let (kind, listed) = known.listed(&names).expect("a good list");
         sidecar.listed(kind, &listed);
