--- a/crates/lab/src/scale/host/hollow.rs
+++ b/crates/lab/src/scale/host/hollow.rs
@@ -78,14 +78,14 @@
         let servers = EndpointConnections::new(terms(&config), self.executor.clone());
         // The balancer comes to life with its first event.
         sidecar.listed(ListKind::Full, &[]);
-        let (moves, moved) = async_channel::bounded(1);
+        let (moves, discovery_changes) = async_channel::bounded(1);
         let follower = Watcher {
             sidecar: sidecar.clone(),
             servers,
             discovery: DiscoveryAddress { address: config.discovery, pushed: false },
             names,
             generation: None,
-            moved,
+            discovery_changes,
             random: fastrand::Rng::with_seed(config.seed),
         };
         let follower = self.executor.spawn(follower.run(asked));
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -40,8 +40,8 @@
 }
 
 /// Returns the next address of discovery, or stays pending once the sender is gone.
-async fn next_discovery_address(moved: &Receiver<DiscoveryAddress>) -> DiscoveryAddress {
-    match moved.recv().await {
+async fn next_discovery_address(discovery_changes: &Receiver<DiscoveryAddress>) -> DiscoveryAddress {
+    match discovery_changes.recv().await {
         Ok(address) => address,
         Err(_) => future::pending().await,
     }
@@ -60,7 +60,7 @@
     /// The list version that is held; `None` before the first list.
     pub generation: Option<u64>,
     /// Receives the new address of discovery whenever it changes.
-    pub moved: Receiver<DiscoveryAddress>,
+    pub discovery_changes: Receiver<DiscoveryAddress>,
     /// Source of the jitter between polls.
     pub random: fastrand::Rng,
 }
@@ -128,9 +128,10 @@
         let mut outage_log = OutageLog::default();
         let mut state = PollState::new(self.first_poll());
         let mut superseded = SupersededPolls::default();
-        let moved = self.moved.clone();
+        let discovery_changes = self.discovery_changes.clone();
         loop {
-            let moved_event = async { WatchEvent::DiscoveryMoved(next_discovery_address(&moved).await) };
+            let moved_event =
+                async { WatchEvent::DiscoveryMoved(next_discovery_address(&discovery_changes).await) };
             let superseded_end = async { WatchEvent::SupersededPollEnded(superseded.next().await) };
             let poll_end = self.drive_poll(&mut state, &subscriptions);
             match future::or(moved_event, future::or(superseded_end, poll_end)).await {
--- a/crates/program/src/serve.rs
+++ b/crates/program/src/serve.rs
@@ -111,14 +111,14 @@
     let (kind, listed) = known.unwrap_or((ListKind::Full, Vec::new()));
     sidecar.listed(kind, &listed);
     let generation = config.known.as_ref().map(|k| k.generation);
-    let (moves, moved) = async_channel::unbounded();
+    let (moves, discovery_changes) = async_channel::unbounded();
     let watcher = Watcher {
         sidecar: sidecar.clone(),
         servers: servers.clone(),
         discovery: place(&config),
         names,
         generation,
-        moved,
+        discovery_changes,
         random: fastrand::Rng::with_seed(config.seed),
     };
     executor.spawn(watcher.run(asked)).detach();
--- a/crates/program/tests/sidecar/embedded.rs
+++ b/crates/program/tests/sidecar/embedded.rs
@@ -44,7 +44,7 @@
 
     /// Follows discovery there, from the first version on. Its places are named by what is returned.
     pub fn follow(&self, discovery: SocketAddr) -> async_channel::Sender<DiscoveryAddress> {
-        let (moves, moved) = async_channel::unbounded();
+        let (moves, discovery_changes) = async_channel::unbounded();
         let (subscribe, subscribed) = async_channel::bounded(1);
         let watcher = Watcher {
             sidecar: self.sidecar.clone(),
@@ -52,7 +52,7 @@
             discovery: DiscoveryAddress { address: discovery, pushed: false },
             names: self.names.clone(),
             generation: Some(1),
-            moved,
+            discovery_changes,
             random: fastrand::Rng::with_seed(1),
         };
         let follows = async move {
