--- a/crates/net/src/clients/close.rs
+++ b/crates/net/src/clients/close.rs
@@ -24,7 +24,8 @@
         // its first byte on.
         let mut discarded = vec![0; DISCARD_BYTES];
         while reader.read(&mut discarded).await? > 0 {
-            future::yield_now().await; // A client that never stops sending gets no more than its share of the thread.
+            // A client that never stops sending gets no more than its share of the thread.
+            future::yield_now().await;
         }
         Ok(())
     };
--- a/crates/net/src/clients/mod.rs
+++ b/crates/net/src/clients/mod.rs
@@ -39,7 +39,7 @@
 /// A connection without a request is closed after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// The minimum rate of a body in bytes per second: half of the 64 kB a second at which clients send
-/// bodies (the deployment's requirements), for slack. A body has this much more time to start.
+/// bodies (the deployment's requirements), for slack. A body has [`BODY_START_TIME`] more to start.
 const MIN_BODY_RATE: f64 = 32_768.0;
 const BODY_START_TIME: Duration = Duration::from_millis(500);
 
@@ -179,9 +179,9 @@
         self.max_connections.set(max_connections);
     }
 
-    /// Starts the stop of the process: it reports not ready, but continues to serve existing
-    /// connections until [`Clients::close_after_next_response`]. Each new request has the time of the
-    /// stop's last answer as its latest deadline.
+    /// Starts the stop of the process: it reports not ready, but continues to serve the
+    /// connections that clients keep until [`Clients::close_after_next_response`]. Each new request has
+    /// the time of the stop's last answer as its latest deadline.
     pub fn stop(&self) -> Stop {
         let classes = &self.platform.borrow().balancer.classes;
         let longest = classes.iter().map(|c| c.give_up).max().unwrap_or_default();
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -28,6 +28,7 @@
 /// The first poll of a process is made within this fraction of `ask_within` (see the settings), if
 /// that is sooner than what the schedule says.
 const FIRST_POLL_FRACTION: f64 = 0.36;
+
 /// The address of discovery, and how it publishes the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoveryAddress {
@@ -65,7 +66,7 @@
     pub random: fastrand::Rng,
 }
 
-/// What happened first: a poll ended, or the target of the polls changed.
+/// What happened first: a poll ended, or the discovery address changed.
 enum WatchEvent {
     PollEnded(PollEnd),
     /// A poll of a previous discovery address ended.
@@ -236,7 +237,7 @@
             }
         } else {
             if is_new {
-                tracing::warn!(failure = %error, "discovery poll failed; the current endpoint list stays in use");
+                tracing::warn!(failure = %error, "discovery poll failed; keeping the current endpoint list");
             }
             self.sidecar.list_failed();
         }
--- a/crates/net/src/list/poll.rs
+++ b/crates/net/src/list/poll.rs
@@ -165,7 +165,7 @@
                 started_at.set(first_started_at);
                 return Err(PollFailure { outcome: PollOutcome::Unconnected, error });
             }
-            tracing::debug!(failure = %error, "connecting to discovery failed on the network path; retrying");
+            tracing::debug!(failure = %error, "connect to discovery failed on the network path; retrying");
             Timer::after(delay).await;
             started_at.set(Instant::now());
         }
--- a/crates/net/src/list/schedule.rs
+++ b/crates/net/src/list/schedule.rs
@@ -35,16 +35,17 @@
 //! # Guarantees
 //!
 //! A watch that falls silent times out `WATCH_GRACE` after its hold time, and the next poll is made
-//! `SILENCE_JITTER` after that at the latest: `UPDATE_DEADLINE_AFTER_HOLD` (2 s) less 0.8 s. After
-//! any poll that failed, an update is due `UPDATE_DEADLINE` (6 s) after discovery had it and could
-//! be reached. The next poll starts within `RETRY_INTERVAL` of that moment, one that was lost on
-//! the way included, and has `BUSY_ANSWER_TIME` for its answer: `RETRY_INTERVAL + BUSY_ANSWER_TIME
-//! = UPDATE_DEADLINE`. A poll that is rejected after the return costs one more interval.
+//! `SILENCE_JITTER` after that at the latest, 0.8 s before `UPDATE_DEADLINE_AFTER_HOLD` (2 s) ends.
+//! After any poll that failed, an update is due `UPDATE_DEADLINE` (6 s) after discovery had it and
+//! could be reached. The next poll starts within `RETRY_INTERVAL` of that moment, one that was lost
+//! on the way included, and has `BUSY_ANSWER_TIME` for its answer:
+//! `RETRY_INTERVAL + BUSY_ANSWER_TIME = UPDATE_DEADLINE`. A poll that is rejected after the return
+//! costs one more interval.
 //!
 //! A discovery that serves `rate` polls a second, less what other clients take, and keeps a poll in
-//! its queue for `queue`, is not overloaded by a fleet of `size` as long as `size <= rate *
-//! (RETRY_INTERVAL + queue)`. No schedule gives each sidecar its list in time where `size > rate *
-//! UPDATE_DEADLINE`.
+//! its queue for `queue`, is not overloaded by a fleet of `size` as long as
+//! `size <= rate * (RETRY_INTERVAL + queue)`. No schedule gives each sidecar its list in time where
+//! `size > rate * UPDATE_DEADLINE`.
 
 use std::time::Duration;
 
--- a/crates/net/src/list/schedule/tests/deadline.rs
+++ b/crates/net/src/list/schedule/tests/deadline.rs
@@ -86,13 +86,14 @@
         whole: bool,
         faults in prop::collection::vec(fault(), 1..12),
         reloads in prop::collection::vec((0..40_000u64).prop_map(ms), 0..6),
-        first_draw in 0.0..=1.0,
+        first_jitter in 0.0..=1.0,
         outage_end in (0..40_000u64).prop_map(ms),
         turned_away in prop::option::of(0.0..=1.0),
         answered in 0.0..=0.9,
         jitter_values in prop::collection::vec(0.0..1.0, 7),
     ) {
-        let (mut jitter_values, mut faults) = (jitter_values.into_iter().cycle(), faults.into_iter().cycle());
+        let (mut jitter_values, mut faults) =
+            (jitter_values.into_iter().cycle(), faults.into_iter().cycle());
         let mut jitter = || jitter_values.next().unwrap_or_default();
         let mut recovery = Recovery { turned_away, answered };
         let mut reloads: Vec<_> = reloads.into_iter().filter(|at| *at < outage_end).collect();
@@ -101,7 +102,7 @@
         let (mut schedule, first) = Schedule::new(pushed);
         let mut now = match first {
             NextPoll::After(delay) => delay,
-            NextPoll::FirstWithin(within) => within.mul_f64(first_draw),
+            NextPoll::FirstWithin(within) => within.mul_f64(first_jitter),
         };
         let (mut whole, mut deadline) = (whole, outage_end + UPDATE_DEADLINE);
         for step in 0.. {
@@ -121,8 +122,11 @@
                         // An open watch receives the update at once.
                         PollOutcome::Answered { .. } => break,
                         PollOutcome::Silent { .. } => {
-                            let spec_deadline = (outage_end + UPDATE_DEADLINE).max(now + hold_time + UPDATE_DEADLINE_AFTER_HOLD);
-                            prop_assert!(now + hold_time + WATCH_GRACE + SILENCE_JITTER + ms(800) <= spec_deadline);
+                            let spec_deadline = (outage_end + UPDATE_DEADLINE)
+                                .max(now + hold_time + UPDATE_DEADLINE_AFTER_HOLD);
+                            prop_assert!(
+                                now + hold_time + WATCH_GRACE + SILENCE_JITTER + ms(800) <= spec_deadline
+                            );
                             deadline = ends + UPDATE_DEADLINE;
                         }
                         // The watch breaks later, and only then is there something to recover.
@@ -138,11 +142,15 @@
             if let Some(after) = recovery.turned_away.take() {
                 let took = ms(1000).mul_f64(after);
                 deadline += RETRY_INTERVAL;
-                now += took + delay(schedule.poll_ended(PollOutcome::TurnedAway, took, UPDATE_DEADLINE, jitter()));
+                now += took
+                    + delay(schedule.poll_ended(PollOutcome::TurnedAway, took, UPDATE_DEADLINE, jitter()));
                 continue;
             }
             let received_at = now + BUSY_ANSWER_TIME.mul_f64(recovery.answered);
-            prop_assert!(received_at + ms(100) <= deadline, "received at {received_at:?}, due at {deadline:?}, recovery at {outage_end:?}");
+            prop_assert!(
+                received_at + ms(100) <= deadline,
+                "received at {received_at:?}, due at {deadline:?}, recovery at {outage_end:?}"
+            );
             break;
         }
     }
