--- a/crates/lab/src/scale/host/hollow.rs
+++ b/crates/lab/src/scale/host/hollow.rs
@@ -10,8 +10,8 @@
 use cottonpoint::config::Config;
 use cottonpoint_core::{Clock, Sidecar, endpoint_id};
 use cottonpoint_decide::ListKind;
-use cottonpoint_net::list::{Names, Place, Watcher};
-use cottonpoint_net::servers::{Servers, Terms};
+use cottonpoint_net::list::{DiscoveryAddress, NameTable, Watcher};
+use cottonpoint_net::servers::{EndpointConnections, PoolSettings};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io;
@@ -57,7 +57,7 @@
 struct Running {
     sidecar: Rc<Sidecar>,
     /// Held so that the follower can be told of a move for as long as it lives.
-    _moves: Sender<Place>,
+    _moves: Sender<DiscoveryAddress>,
     _follower: Task<()>,
 }
 
@@ -72,20 +72,20 @@
         let text = configuration(index, discovery, 0).to_string();
         let config = Config::parse(&text, |_| None).map_err(|bad| bad.to_string())?;
         let platform = &config.platform;
-        let names = Names { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
+        let names = NameTable { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
         let (sidecar, asked) =
             Sidecar::new(platform.balancer.clone(), config.seed, Clock::start(), self.executor.clone());
-        let servers = Servers::new(terms(&config), self.executor.clone());
+        let servers = EndpointConnections::new(terms(&config), self.executor.clone());
         // The balancer comes to life with its first event.
         sidecar.apply_list(ListKind::Full, &[]);
-        let (moves, moved) = async_channel::bounded(1);
+        let (moves, discovery_changes) = async_channel::bounded(1);
         let follower = Watcher {
             sidecar: sidecar.clone(),
             servers,
-            discovery: Place { address: config.discovery, pushed: false },
+            discovery: DiscoveryAddress { address: config.discovery, pushed: false },
             names,
             generation: None,
-            moved,
+            discovery_changes,
             random: fastrand::Rng::with_seed(config.seed),
         };
         let follower = self.executor.spawn(follower.run(asked));
@@ -114,11 +114,11 @@
     }
 }
 
-fn terms(config: &Config) -> Terms {
-    Terms {
+fn terms(config: &Config) -> PoolSettings {
+    PoolSettings {
         connect_timeout: config.platform.connect_timeout,
-        idle: config.platform.conn_idle,
-        connections: config.target_connections,
+        idle_timeout: config.platform.conn_idle,
+        max_connections: config.target_connections,
         fields: config.platform.fields.clone(),
         field_names: config.platform.field_names.clone(),
     }
--- a/crates/program/src/config.rs
+++ b/crates/program/src/config.rs
@@ -1,6 +1,6 @@
 //! The sidecar's configuration: the one place that reads it, checks it and gives defaults.
 
-use cottonpoint_net::list::{Answer, Names};
+use cottonpoint_net::list::{Answer, NameTable};
 use cottonpoint_settings::{self as settings, BadSetting, DeploymentSettings};
 use serde::Deserialize;
 use std::collections::HashMap;
@@ -159,7 +159,7 @@
         let mut known = file.known;
         if let Some(known) = &mut known {
             known.reset = true;
-            let names = Names { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
+            let names = NameTable { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
             known.listed(&names).map_err(|e| bad("known", e))?;
         }
         // A flow holds a connection on either side; clients keep some more, and as many again come with no
@@ -168,7 +168,7 @@
             None => None,
             given => Some(address("console", given, "NODE_CONSOLE")?),
         };
-        let callers = console.map_or(0, |_| cottonpoint_net::console::AT_ONCE);
+        let callers = console.map_or(0, |_| cottonpoint_net::console::MAX_CONNECTIONS);
         let spare = usize::try_from(sockets).unwrap_or(usize::MAX).min(1 << 16) - RESERVE - callers;
         let state = variable("TMPDIR").filter(|dir| !dir.is_empty()).map(PathBuf::from);
         Ok(Config {
--- a/crates/program/src/metrics.rs
+++ b/crates/program/src/metrics.rs
@@ -5,9 +5,9 @@
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http;
 use cottonpoint_core::Sidecar;
-use cottonpoint_net::clients::{Clients, LINGER, close};
-use cottonpoint_net::servers::Servers;
-use cottonpoint_net::{within, write_all};
+use cottonpoint_net::clients::{Clients, LINGERING_TIMEOUT, close};
+use cottonpoint_net::servers::EndpointConnections;
+use cottonpoint_net::{with_timeout, write_all};
 use futures_lite::future;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -42,7 +42,7 @@
     /// Client connections.
     pub clients: Rc<Clients>,
     /// Connections to targets.
-    pub servers: Rc<Servers>,
+    pub servers: Rc<EndpointConnections>,
     /// The fleet, where it is on.
     pub fleet: Option<Rc<Membership>>,
 }
@@ -139,8 +139,8 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let answered = within(PATIENCE, self.answer(&stream)).await.is_ok();
-                    close(&stream, if answered { LINGER } else { Duration::ZERO }).await;
+                    let answered = with_timeout(PATIENCE, self.answer(&stream)).await.is_ok();
+                    close(&stream, if answered { LINGERING_TIMEOUT } else { Duration::ZERO }).await;
                 }
                 Err(_) => drop(Timer::after(ACCEPT_AGAIN).await),
             }
--- a/crates/program/src/serve.rs
+++ b/crates/program/src/serve.rs
@@ -11,9 +11,9 @@
 use cottonpoint_decide::{Discovery, ListKind};
 use cottonpoint_mesh::Command;
 use cottonpoint_net::clients::Clients;
-use cottonpoint_net::console::Call;
-use cottonpoint_net::list::{Names, Place, Watcher};
-use cottonpoint_net::servers::{Servers, Terms};
+use cottonpoint_net::console::ConsoleCommand;
+use cottonpoint_net::list::{DiscoveryAddress, NameTable, Watcher};
+use cottonpoint_net::servers::{EndpointConnections, PoolSettings};
 use futures_lite::{Stream, StreamExt, future};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -32,7 +32,7 @@
 /// Descriptors for all else, at most: three standard streams, three of the event loop, two for signals, the listeners
 /// of clients, console and metrics, discovery, a call for the metrics, the fleet's socket, two files: 16, rounded up
 /// to 24; and the console's callers.
-const OWN_DESCRIPTORS: usize = 24 + cottonpoint_net::console::AT_ONCE;
+const OWN_DESCRIPTORS: usize = 24 + cottonpoint_net::console::MAX_CONNECTIONS;
 
 /// How often the file of endpoints out by hand is read again, for what a process beside this one wrote: well
 /// within the grace of a drain.
@@ -101,24 +101,24 @@
     executor: Executor,
 ) -> io::Result<()> {
     let platform = config.platform.clone();
-    let names = Names { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
+    let names = NameTable { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
     let clock = Clock::start();
     let (sidecar, asked) = Sidecar::new(platform.balancer.clone(), config.seed, clock, executor.clone());
     sidecar.set_drain_grace(platform.drain_grace);
-    let servers = Servers::new(terms(&config), executor.clone());
+    let servers = EndpointConnections::new(terms(&config), executor.clone());
     // The balancer comes to life with its first event: it is told of an empty list too.
     let known = config.known.as_ref().and_then(|k| k.listed(&names).ok());
     let (kind, listed) = known.unwrap_or((ListKind::Full, Vec::new()));
     sidecar.apply_list(kind, &listed);
     let generation = config.known.as_ref().map(|k| k.generation);
-    let (moves, moved) = async_channel::unbounded();
+    let (moves, discovery_changes) = async_channel::unbounded();
     let watcher = Watcher {
         sidecar: sidecar.clone(),
         servers: servers.clone(),
         discovery: place(&config),
         names,
         generation,
-        moved,
+        discovery_changes,
         random: fastrand::Rng::with_seed(config.seed),
     };
     executor.spawn(watcher.run(asked)).detach();
@@ -155,7 +155,7 @@
     });
     let _console = console_listener.map(|listener| {
         let console = console.clone();
-        let answer: Rc<dyn Fn(Call) -> String> = Rc::new(move |call| console.answer(call));
+        let answer: Rc<dyn Fn(ConsoleCommand) -> String> = Rc::new(move |call| console.answer(call));
         executor.spawn(cottonpoint_net::console::serve(listener, executor.clone(), answer))
     });
     let _join = fleet.clone().map(|fleet| executor.spawn(async move { fleet.wait_for_address().await }));
@@ -184,8 +184,8 @@
                     if place(&config) != place(&current) {
                         let _ = moves.try_send(place(&config));
                     }
-                    bounded.set_bound(bounds(&config).0);
-                    servers.set_terms(terms(&config));
+                    bounded.set_max_connections(bounds(&config).0);
+                    servers.set_pool_settings(terms(&config));
                     tracing::info!("{}", current.change_to(*config));
                 }
                 Word::Reload(Err(fault)) => {
@@ -209,11 +209,11 @@
         let look = stop.closes_connections_at().min(now() + FOLLOW_EVERY);
         one_closed_or(&clients, Timer::at(clock.instant(look))).await;
     }
-    clients.leave();
+    clients.close_after_next_response();
     if followed() {
         // A newer process shares the clients' address: what comes goes there from now on.
         tracing::info!("a newer process serves beside this one: it takes all new connections");
-        clients.last_call();
+        clients.stop_accepting();
         Timer::after(CLOSE_IDLE).await;
     }
     let nobody_is_left = async || {
@@ -224,7 +224,7 @@
     };
     nobody_is_left().await;
     // Who came in the very last moment stands in the listener's queue: closing it would reset what was sent.
-    clients.last_call();
+    clients.stop_accepting();
     accept.await;
     nobody_is_left().await;
     // Who was told yes for an endpoint out by hand may count on it at the next start. A disk that hangs is waited
@@ -251,13 +251,13 @@
 }
 
 /// What the pool of connections to targets goes by.
-fn terms(config: &Config) -> Terms {
+fn terms(config: &Config) -> PoolSettings {
     let platform = &config.platform;
-    Terms {
+    PoolSettings {
         connect_timeout: platform.connect_timeout,
         // Well before the other side closes it under a request.
-        idle: platform.conn_idle.mul_f64(0.7),
-        connections: bounds(config).1,
+        idle_timeout: platform.conn_idle.mul_f64(0.7),
+        max_connections: bounds(config).1,
         fields: platform.fields.clone(),
         field_names: platform.field_names.clone(),
     }
@@ -278,13 +278,16 @@
 }
 
 /// Where discovery is, by that configuration.
-fn place(config: &Config) -> Place {
-    Place { address: config.discovery, pushed: config.platform.balancer.discovery == Discovery::Pushed }
+fn place(config: &Config) -> DiscoveryAddress {
+    DiscoveryAddress {
+        address: config.discovery,
+        pushed: config.platform.balancer.discovery == Discovery::Pushed,
+    }
 }
 
 /// Waits until a connection has closed, or for the timer.
 async fn one_closed_or(clients: &Clients, timer: Timer) {
-    future::or(clients.one_closed(), async {
+    future::or(clients.wait_for_close(), async {
         timer.await;
     })
     .await;
--- a/crates/program/tests/sidecar/embedded.rs
+++ b/crates/program/tests/sidecar/embedded.rs
@@ -3,8 +3,8 @@
 use crate::peers::*;
 use async_executor::LocalExecutor;
 use cottonpoint::config::Config;
-use cottonpoint::net::list::{Names, Place, Watcher};
-use cottonpoint::net::servers::{Servers, Terms};
+use cottonpoint::net::list::{DiscoveryAddress, NameTable, Watcher};
+use cottonpoint::net::servers::{EndpointConnections, PoolSettings};
 use cottonpoint::sidecar::{Clock, Executor, Sidecar};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,28 +14,28 @@
 pub struct Embedded {
     pub executor: Executor,
     pub sidecar: Rc<Sidecar>,
-    pub servers: Rc<Servers>,
-    names: Names,
+    pub servers: Rc<EndpointConnections>,
+    names: NameTable,
 }
 
 impl Embedded {
     /// One with those endpoints and as many connections to them at most, each given up after that time.
-    pub fn new(endpoints: &[String], connections: usize, connect_timeout: Duration) -> Embedded {
+    pub fn new(endpoints: &[String], max_connections: usize, connect_timeout: Duration) -> Embedded {
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
         let text = config(nowhere, &list(1, true, endpoints), 1024);
         let config = Config::parse(&text, |_| None).expect("a good configuration");
         let platform = config.platform;
         let executor: Executor = Rc::new(LocalExecutor::new());
         let (sidecar, _) = Sidecar::new(platform.balancer, 1, Clock::start(), executor.clone());
-        let terms = Terms {
+        let terms = PoolSettings {
             connect_timeout,
-            idle: platform.conn_idle,
-            connections,
+            idle_timeout: platform.conn_idle,
+            max_connections,
             fields: platform.fields,
             field_names: platform.field_names,
         };
-        let servers = Servers::new(terms, executor.clone());
-        let names = Names { zones: platform.zones, kinds: platform.kinds };
+        let servers = EndpointConnections::new(terms, executor.clone());
+        let names = NameTable { zones: platform.zones, kinds: platform.kinds };
         let known = config.known.expect("a list");
         let (kind, listed) = known.listed(&names).expect("a good list");
         sidecar.apply_list(kind, &listed);
@@ -43,16 +43,16 @@
     }
 
     /// Follows discovery there, from the first version on. Its places are named by what is returned.
-    pub fn follow(&self, discovery: SocketAddr) -> async_channel::Sender<Place> {
-        let (moves, moved) = async_channel::unbounded();
+    pub fn follow(&self, discovery: SocketAddr) -> async_channel::Sender<DiscoveryAddress> {
+        let (moves, discovery_changes) = async_channel::unbounded();
         let (subscribe, subscribed) = async_channel::bounded(1);
         let watcher = Watcher {
             sidecar: self.sidecar.clone(),
             servers: self.servers.clone(),
-            discovery: Place { address: discovery, pushed: false },
+            discovery: DiscoveryAddress { address: discovery, pushed: false },
             names: self.names.clone(),
             generation: Some(1),
-            moved,
+            discovery_changes,
             random: fastrand::Rng::with_seed(1),
         };
         let follows = async move {
