--- a/crates/program/src/bin/cottonpoint-adapter/layout.rs
+++ b/crates/program/src/bin/cottonpoint-adapter/layout.rs
@@ -1,12 +1,13 @@
-//! The fixed fields of the bench's records, byte for byte as they lie on the wire: little-endian, without padding.
+//! The fixed fields of the bench's records, byte for byte as on the wire: little-endian, without
+//! padding.
 //!
-//! `zerocopy` reads and writes them whole and checks the length, without unsafe code here.
+//! `zerocopy` reads and writes them as a whole and checks the length, without unsafe code here.
 
 use cottonpoint::EndpointId;
 use zerocopy::little_endian::{F32, U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-/// An endpoint's address and port, as they stand.
+/// An endpoint's address and port, in the byte order of the wire.
 #[derive(Clone, Copy, FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
 pub struct Address([u8; 6]);
@@ -24,34 +25,34 @@
     }
 }
 
-/// What each record opens with.
+/// The header of every record.
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-pub struct Head {
+pub struct RecordHeader {
     pub code: u8,
     pub length: U32,
 }
 
-/// A new instance; its settings follow.
+/// A new balancer instance; its settings follow.
 #[derive(FromBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-pub struct Start {
+pub struct NewInstance {
     pub seed: U64,
     pub length: U32,
 }
 
-/// A numbered list; its entries follow.
+/// A numbered endpoint list; its entries follow.
 #[derive(FromBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-pub struct Roster {
+pub struct NumberedList {
     pub slot: U32,
     pub count: U32,
 }
 
-/// An endpoint as a list holds it.
+/// An entry of an endpoint list.
 #[derive(FromBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-pub struct Entry {
+pub struct ListEntry {
     pub zone: U16,
     pub nominal: F32,
     pub kind: U16,
@@ -61,31 +62,31 @@
     pub started: U64,
 }
 
-/// Discovery's word.
+/// An update from discovery, which refers to a numbered list.
 #[derive(FromBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-pub struct Members {
+pub struct DiscoveryUpdate {
     pub kind: u8,
     pub slot: U32,
 }
 
-/// A call has come.
+/// A request has arrived.
 #[derive(FromBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-pub struct Ingress {
+pub struct RequestArrived {
     pub id: U64,
     pub class: u8,
     pub tenant: U16,
     pub key: U64,
-    pub due: U64,
+    pub deadline: U64,
     pub cost: U64,
-    pub marks: u8,
+    pub flags: u8,
 }
 
-/// A forward has ended; its report follows.
+/// An attempt has finished; its load report follows.
 #[derive(FromBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-pub struct Done {
+pub struct AttemptFinished {
     pub id: U64,
     pub outcome: U16,
     pub attempt: u8,
@@ -94,25 +95,25 @@
     pub endpoint: Address,
 }
 
-/// A probe has ended; its report follows.
+/// A probe has ended; its load report follows.
 #[derive(FromBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-pub struct Probed {
+pub struct ProbeEnded {
     pub outcome: U16,
     pub endpoint: Address,
     pub elapsed: U64,
 }
 
-/// The call goes out to an endpoint.
+/// Send the request to an endpoint.
 #[derive(IntoBytes, Immutable, Unaligned)]
 #[repr(C)]
 pub struct Send {
     pub id: U64,
     pub endpoint: Address,
-    pub until: U64,
+    pub deadline: U64,
 }
 
-/// The call is refused.
+/// Refuse the request.
 #[derive(IntoBytes, Immutable, Unaligned)]
 #[repr(C)]
 pub struct Refuse {
@@ -120,7 +121,7 @@
     pub retry_after: U64,
 }
 
-/// A forward is given up.
+/// Cancel an attempt.
 #[derive(IntoBytes, Immutable, Unaligned)]
 #[repr(C)]
 pub struct Cancel {
@@ -128,10 +129,10 @@
     pub attempt: u8,
 }
 
-/// A timer is set.
+/// Set a timer.
 #[derive(IntoBytes, Immutable, Unaligned)]
 #[repr(C)]
 pub struct SetTimer {
-    pub after: U64,
+    pub delay: U64,
     pub token: U64,
 }
--- a/crates/program/src/bin/cottonpoint-adapter/main.rs
+++ b/crates/program/src/bin/cottonpoint-adapter/main.rs
@@ -1,4 +1,5 @@
-//! Plays balancers on the bench's wire: events in on standard input, actions out on standard output.
+//! Runs balancers on the bench's wire: reads events from standard input and writes actions to
+//! standard output.
 
 mod layout;
 mod wire;
@@ -11,61 +12,62 @@
 use std::process::ExitCode;
 use wire::{Malformed, Reader, Record, Reply};
 
-/// All that the process holds between batches.
+/// The state that the process keeps between batches.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u16, (Balancer, ReportFields)>,
-    rosters: [Vec<Endpoint>; wire::ROSTERS],
+    endpoint_lists: [Vec<Endpoint>; wire::LIST_SLOTS],
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Plays one batch and returns the reply.
-    fn play(&mut self, body: &[u8]) -> Result<Vec<u8>, Malformed> {
+    /// Processes one batch of records and returns the reply.
+    fn process_batch(&mut self, body: &[u8]) -> Result<Vec<u8>, Malformed> {
         let mut batch = Reader::new(body, "batch");
         let now = Time(batch.u64()?);
         let mut reply = Reply::default();
-        let mut target = None;
+        let mut selected = None;
         loop {
-            let known = target.and_then(|t| self.instances.get(&t));
+            let entry = selected.and_then(|instance| self.instances.get(&instance));
             let none = ReportFields::default();
-            let Some(record) = wire::next_record(&mut batch, known.map_or(&none, |k| &k.1))? else { break };
+            let Some(record) = wire::next_record(&mut batch, entry.map_or(&none, |e| &e.1))? else { break };
             let event = match record {
-                Record::Target(instance) => {
-                    target = Some(instance);
+                Record::Instance(instance) => {
+                    selected = Some(instance);
                     continue;
                 }
-                Record::Roster(slot, entries) => {
-                    self.rosters[slot] = entries;
+                Record::List(slot, entries) => {
+                    self.endpoint_lists[slot] = entries;
                     continue;
                 }
                 Record::Other => continue,
-                Record::Start(seed, text) => {
-                    let instance = target.ok_or_else(|| Malformed("no instance named".into()))?;
+                Record::NewInstance(seed, text) => {
+                    let instance = selected.ok_or_else(|| Malformed("no instance named".into()))?;
                     let platform = settings::from_pairs(text).map_err(|e| Malformed(e.to_string()))?;
                     let fields = platform.fields;
-                    let made = guard(&mut reply, instance, || Balancer::new(platform.balancer, seed, now));
-                    if let Some(balancer) = made {
+                    let created =
+                        catch_panic(&mut reply, instance, || Balancer::new(platform.balancer, seed, now));
+                    if let Some(balancer) = created {
                         self.instances.insert(instance, (balancer, fields));
                     }
                     continue;
                 }
                 Record::Killed => {
-                    target.and_then(|t| self.instances.remove(&t));
+                    selected.and_then(|instance| self.instances.remove(&instance));
                     continue;
                 }
-                Record::Members(kind, slot) => match self.rosters.get(slot) {
+                Record::Discovery(kind, slot) => match self.endpoint_lists.get(slot) {
                     Some(entries) => Event::Endpoints { kind, entries },
                     None => return Err(Malformed(format!("roster number {slot} out of range"))),
                 },
                 Record::Event(event) => event,
             };
-            let instance = target.ok_or_else(|| Malformed("no instance named".into()))?;
+            let instance = selected.ok_or_else(|| Malformed("no instance named".into()))?;
             let Some((balancer, _)) = self.instances.get_mut(&instance) else {
                 return Err(Malformed(format!("event for unknown instance {instance}")));
             };
             let actions = &mut self.actions;
-            guard(&mut reply, instance, || balancer.handle(now, event, actions));
+            catch_panic(&mut reply, instance, || balancer.handle(now, event, actions));
             for action in self.actions.drain(..) {
                 reply.action(instance, action);
             }
@@ -74,8 +76,8 @@
     }
 }
 
-/// Runs decision code; a panic becomes the wire's fault message.
-fn guard<T>(reply: &mut Reply, instance: u16, decide: impl FnOnce() -> T) -> Option<T> {
+/// Runs decision code; a panic becomes a fault record of the reply.
+fn catch_panic<T>(reply: &mut Reply, instance: u16, decide: impl FnOnce() -> T) -> Option<T> {
     match catch_unwind(AssertUnwindSafe(decide)) {
         Ok(value) => Some(value),
         Err(cause) => {
@@ -87,21 +89,21 @@
     }
 }
 
-/// Reads one frame; `None` at the end of input.
+/// Reads one frame into `body`; returns `false` at the end of input.
 fn read_frame(input: &mut impl Read, body: &mut Vec<u8>) -> Result<bool, Malformed> {
     let mut head = [0; 4];
-    let mut got = 0;
-    while got < head.len() {
-        match input.read(&mut head[got..]) {
-            Ok(0) if got == 0 => return Ok(false),
+    let mut filled = 0;
+    while filled < head.len() {
+        match input.read(&mut head[filled..]) {
+            Ok(0) if filled == 0 => return Ok(false),
             Ok(0) => return Err(Malformed("input ends within a frame's length".into())),
-            Ok(n) => got += n,
+            Ok(n) => filled += n,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) => return Err(Malformed(format!("cannot read: {e}"))),
         }
     }
     let length = u32::from_le_bytes(head) as usize;
-    if length > wire::LONGEST_FRAME {
+    if length > wire::MAX_FRAME_LENGTH {
         return Err(Malformed(format!("frame of {length} bytes is too long")));
     }
     body.clear();
@@ -118,7 +120,7 @@
     let mut host = Host::default();
     let mut body = Vec::new();
     while read_frame(&mut input, &mut body)? {
-        let frame = host.play(&body)?;
+        let frame = host.process_batch(&body)?;
         let written = output.write_all(&frame).and_then(|()| output.flush());
         written.map_err(|e| Malformed(format!("cannot write: {e}")))?;
     }
@@ -126,12 +128,13 @@
 }
 
 fn main() -> ExitCode {
-    // A panic is reported on the wire; standard error keeps to one plain line a defect.
+    // Panics are reported on the wire; standard error gets one plain line for each fault of the
+    // input.
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Malformed(why)) => {
-            eprintln!("cottonpoint-adapter: {why}");
+        Err(Malformed(reason)) => {
+            eprintln!("cottonpoint-adapter: {reason}");
             ExitCode::FAILURE
         }
     }
--- a/crates/program/src/bin/cottonpoint-adapter/wire.rs
+++ b/crates/program/src/bin/cottonpoint-adapter/wire.rs
@@ -1,7 +1,7 @@
-//! Reading and writing the bench's frames: plain translation, no decisions.
+//! Reads and writes the bench's frames: plain translation, no decisions.
 //!
-//! Records are read and written whole, as types with the wire's [layout](crate::layout). Short input is an error;
-//! fields behind those known are passed over.
+//! Records are read and written as a whole, as types with the wire's [layout](crate::layout). Input
+//! that is too short is an error; fields after the known ones are ignored.
 
 use crate::layout::*;
 use cottonpoint::settings::ReportFields;
@@ -10,55 +10,58 @@
 use zerocopy::little_endian::{F32, U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-/// Why input could not be taken; one plain line.
+/// Why input was rejected, as one plain line.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed(pub String);
 
 type Result<T> = std::result::Result<T, Malformed>;
 
-fn malformed<T>(what: impl Into<String>) -> Result<T> {
-    Err(Malformed(what.into()))
+fn malformed<T>(reason: impl Into<String>) -> Result<T> {
+    Err(Malformed(reason.into()))
 }
 
-/// A frame longer than this is taken for garbage rather than allocated.
-pub const LONGEST_FRAME: usize = 1 << 28;
-const LONGEST_TIMER: Duration = Duration::from_secs(71 * 60);
+/// A longer frame is rejected as garbage rather than allocated.
+pub const MAX_FRAME_LENGTH: usize = 1 << 28;
+const MAX_TIMER: Duration = Duration::from_secs(71 * 60);
 
 /// A cursor over the bytes of one record or frame.
 pub struct Reader<'a> {
     bytes: &'a [u8],
-    what: &'static str,
+    name: &'static str,
 }
 
 impl<'a> Reader<'a> {
-    /// Reads `bytes`, named `what` in complaints.
-    pub fn new(bytes: &'a [u8], what: &'static str) -> Self {
-        Reader { bytes, what }
+    /// Reads `bytes`, called `name` in error messages.
+    pub fn new(bytes: &'a [u8], name: &'static str) -> Self {
+        Reader { bytes, name }
     }
 
-    fn several<T: FromBytes + Immutable + KnownLayout + Unaligned>(&mut self, n: usize) -> Result<&'a [T]> {
+    fn read_slice<T: FromBytes + Immutable + KnownLayout + Unaligned>(
+        &mut self,
+        n: usize,
+    ) -> Result<&'a [T]> {
         match <[T]>::ref_from_prefix_with_elems(self.bytes, n) {
-            Ok((several, rest)) => {
+            Ok((slice, rest)) => {
                 self.bytes = rest;
-                Ok(several)
+                Ok(slice)
             }
-            Err(_) => malformed(format!("truncated {}", self.what)),
+            Err(_) => malformed(format!("truncated {}", self.name)),
         }
     }
 
-    fn next<T: FromBytes + Immutable + KnownLayout + Unaligned>(&mut self) -> Result<&'a T> {
+    fn read<T: FromBytes + Immutable + KnownLayout + Unaligned>(&mut self) -> Result<&'a T> {
         match T::ref_from_prefix(self.bytes) {
             Ok((one, rest)) => {
                 self.bytes = rest;
                 Ok(one)
             }
-            Err(_) => malformed(format!("truncated {}", self.what)),
+            Err(_) => malformed(format!("truncated {}", self.name)),
         }
     }
 
     /// The next eight bytes.
     pub fn u64(&mut self) -> Result<u64> {
-        Ok(self.next::<U64>()?.get())
+        Ok(self.read::<U64>()?.get())
     }
 
     fn request(&mut self) -> Result<RequestId> {
@@ -66,14 +69,14 @@
     }
 
     fn report(&mut self, fields: &ReportFields) -> Result<Option<LoadReport>> {
-        let count = usize::from(*self.next::<u8>()?);
-        let values: &[F32] = self.several(count)?;
+        let count = usize::from(*self.read::<u8>()?);
+        let values: &[F32] = self.read_slice(count)?;
         let report = fields.report(|i| values.get(i).map(|v| f64::from(v.get())));
         Ok((count > 0).then_some(report))
     }
 }
 
-fn outcome(code: U16) -> Outcome {
+fn outcome_from_code(code: U16) -> Outcome {
     match code.get() {
         0 => Outcome::Ok,
         11 => Outcome::Full,
@@ -82,12 +85,12 @@
         104 => Outcome::Reset,
         125 => Outcome::Cancelled,
         114 => Outcome::Moot,
-        // 5, and whatever else an endpoint may come to say: it may have run.
+        // 5, and any code that an endpoint may add later: the request may have been executed.
         _ => Outcome::Error,
     }
 }
 
-impl Entry {
+impl ListEntry {
     fn endpoint(&self) -> Result<Endpoint> {
         let state = match self.state {
             1 => EndpointState::Ready,
@@ -106,89 +109,90 @@
     }
 }
 
-/// What happened, as the wire tells it.
+/// A record of the wire.
 #[derive(Debug)]
 pub enum Record<'a> {
-    /// The events that follow concern this instance.
-    Target(u16),
+    /// The records that follow concern this instance.
+    Instance(u16),
     /// A new instance with this seed and these settings.
-    Start(u64, &'a str),
-    /// The instance was killed.
+    NewInstance(u64, &'a str),
+    /// The instance was stopped without notice.
     Killed,
-    /// A numbered list of endpoints.
-    Roster(usize, Vec<Endpoint>),
-    /// Discovery's word, drawn from a numbered list.
-    Members(ListKind, usize),
-    /// An event that translates by itself.
+    /// A numbered endpoint list.
+    List(usize, Vec<Endpoint>),
+    /// An update from discovery, which refers to a numbered list.
+    Discovery(ListKind, usize),
+    /// An event that can be translated without further state.
     Event(Event<'static>),
-    /// Nothing that concerns a balancer.
+    /// A record that does not concern balancers.
     Other,
 }
 
-/// Reads the next record of a batch; `fields` are those of the instance it concerns.
+/// Reads the next record of a batch; `fields` are the report fields of the instance that it
+/// concerns.
 pub fn next_record<'a>(batch: &mut Reader<'a>, fields: &ReportFields) -> Result<Option<Record<'a>>> {
     if batch.bytes.is_empty() {
         return Ok(None);
     }
-    let head: &Head = batch.next()?;
-    let mut r = Reader::new(batch.several(head.length.get() as usize)?, name(head.code));
+    let head: &RecordHeader = batch.read()?;
+    let mut r = Reader::new(batch.read_slice(head.length.get() as usize)?, record_name(head.code));
     Ok(Some(match head.code {
-        26 => Record::Target(r.next::<U16>()?.get()),
+        26 => Record::Instance(r.read::<U16>()?.get()),
         20 => {
-            let start: &Start = r.next()?;
-            match std::str::from_utf8(r.several(start.length.get() as usize)?) {
-                Ok(text) => Record::Start(start.seed.get(), text),
+            let start: &NewInstance = r.read()?;
+            match std::str::from_utf8(r.read_slice(start.length.get() as usize)?) {
+                Ok(text) => Record::NewInstance(start.seed.get(), text),
                 Err(_) => return malformed("settings are not UTF-8"),
             }
         }
         24 => Record::Killed,
         27 => {
-            let roster: &Roster = r.next()?;
-            let slot = roster.slot.get() as usize;
-            if slot >= ROSTERS {
+            let list: &NumberedList = r.read()?;
+            let slot = list.slot.get() as usize;
+            if slot >= LIST_SLOTS {
                 return malformed(format!("roster number {slot} out of range"));
             }
-            let entries: &[Entry] = r.several(roster.count.get() as usize)?;
-            Record::Roster(slot, entries.iter().map(Entry::endpoint).collect::<Result<_>>()?)
+            let entries: &[ListEntry] = r.read_slice(list.count.get() as usize)?;
+            Record::List(slot, entries.iter().map(ListEntry::endpoint).collect::<Result<_>>()?)
         }
         21 => {
-            let members: &Members = r.next()?;
-            let slot = members.slot.get() as usize;
-            match members.kind {
-                0 => Record::Members(ListKind::Delta, slot),
-                1 | 2 => Record::Members(ListKind::Full, slot),
+            let update: &DiscoveryUpdate = r.read()?;
+            let slot = update.slot.get() as usize;
+            match update.kind {
+                0 => Record::Discovery(ListKind::Delta, slot),
+                1 | 2 => Record::Discovery(ListKind::Full, slot),
                 3 => Record::Event(Event::DiscoveryFailed),
                 other => return malformed(format!("unknown list kind {other}")),
             }
         }
         25 => {
-            let call: &Ingress = r.next()?;
+            let arrived: &RequestArrived = r.read()?;
             Record::Event(Event::Arrived(Call {
-                id: RequestId(call.id.get()),
-                class: ClassId(u16::from(call.class)),
-                tenant: Some(TenantId(call.tenant.get())),
-                due: Time(call.due.get()),
-                cost: (call.marks & 1 != 0).then_some(Duration::from_nanos(call.cost.get())),
+                id: RequestId(arrived.id.get()),
+                class: ClassId(u16::from(arrived.class)),
+                tenant: Some(TenantId(arrived.tenant.get())),
+                due: Time(arrived.deadline.get()),
+                cost: (arrived.flags & 1 != 0).then_some(Duration::from_nanos(arrived.cost.get())),
             }))
         }
         16 => Record::Event(Event::StreamStarted { id: r.request()? }),
         18 => {
-            let done: &Done = r.next()?;
+            let done: &AttemptFinished = r.read()?;
             Record::Event(Event::Finished {
                 id: RequestId(done.id.get()),
                 attempt: done.attempt,
                 endpoint: done.endpoint.into(),
-                outcome: outcome(done.outcome),
+                outcome: outcome_from_code(done.outcome),
                 closed: done.closed != 0,
                 elapsed: Duration::from_nanos(done.elapsed.get()),
                 report: r.report(fields)?,
             })
         }
         23 => {
-            let probed: &Probed = r.next()?;
+            let probed: &ProbeEnded = r.read()?;
             Record::Event(Event::ProbeFinished {
                 endpoint: probed.endpoint.into(),
-                outcome: outcome(probed.outcome),
+                outcome: outcome_from_code(probed.outcome),
                 report: r.report(fields)?,
             })
         }
@@ -198,10 +202,10 @@
     }))
 }
 
-/// Lists of endpoints are numbered below this.
-pub const ROSTERS: usize = 16;
+/// Numbers of endpoint lists are below this.
+pub const LIST_SLOTS: usize = 16;
 
-fn name(code: u8) -> &'static str {
+fn record_name(code: u8) -> &'static str {
     match code {
         16 => "HEADERS",
         18 => "DONE",
@@ -222,57 +226,61 @@
 pub struct Reply {
     count: u32,
     bytes: Vec<u8>,
-    source: Option<u16>,
+    instance: Option<u16>,
 }
 
 impl Reply {
     fn record(&mut self, code: u8, fields: &[u8]) {
         self.count += 1;
-        self.bytes.extend_from_slice(Head { code, length: U32::new(fields.len() as u32) }.as_bytes());
+        self.bytes
+            .extend_from_slice(RecordHeader { code, length: U32::new(fields.len() as u32) }.as_bytes());
         self.bytes.extend_from_slice(fields);
     }
 
-    fn source(&mut self, instance: u16) {
-        if self.source.replace(instance) != Some(instance) {
+    fn select_instance(&mut self, instance: u16) {
+        if self.instance.replace(instance) != Some(instance) {
             self.record(92, U16::new(instance).as_bytes());
         }
     }
 
     /// Writes one action of an instance.
     pub fn action(&mut self, instance: u16, action: Action) {
-        self.source(instance);
-        let number = |id: RequestId| U64::new(id.0);
+        self.select_instance(instance);
+        let raw_id = |id: RequestId| U64::new(id.0);
         let nanos = |d: Duration| U64::new(u64::try_from(d.as_nanos()).unwrap_or(u64::MAX));
         match action {
             Action::Send { id, endpoint, until } => {
                 let until = U64::new(until.0.max(1));
-                self.record(80, Send { id: number(id), endpoint: endpoint.into(), until }.as_bytes());
+                self.record(
+                    80,
+                    Send { id: raw_id(id), endpoint: endpoint.into(), deadline: until }.as_bytes(),
+                );
             }
             Action::Refuse { id, retry_after } => {
                 let retry_after = nanos(retry_after.unwrap_or_default());
-                self.record(81, Refuse { id: number(id), retry_after }.as_bytes());
+                self.record(81, Refuse { id: raw_id(id), retry_after }.as_bytes());
             }
-            Action::Fail { id } => self.record(82, number(id).as_bytes()),
+            Action::Fail { id } => self.record(82, raw_id(id).as_bytes()),
             Action::Cancel { id, attempt } => {
-                self.record(83, Cancel { id: number(id), attempt }.as_bytes());
+                self.record(83, Cancel { id: raw_id(id), attempt }.as_bytes());
             }
             Action::SetTimer { after, token } => {
-                let after = nanos(after.min(LONGEST_TIMER));
-                self.record(84, SetTimer { after, token: U64::new(token.0) }.as_bytes());
+                let after = nanos(after.min(MAX_TIMER));
+                self.record(84, SetTimer { delay: after, token: U64::new(token.0) }.as_bytes());
             }
             Action::Probe { endpoint } => self.record(85, Address::from(endpoint).as_bytes()),
             Action::Subscribe => self.record(90, &[1]),
         }
     }
 
-    /// Declares that the decision code has failed.
+    /// Reports that the decision code has panicked.
     pub fn fault(&mut self, instance: u16, text: &str) {
-        self.source(instance);
+        self.select_instance(instance);
         let text = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
         self.record(89, &[U16::new(text.len() as u16).as_bytes(), text].concat());
     }
 
-    /// The frame as it goes out.
+    /// The complete frame of the reply.
     pub fn frame(&self) -> Vec<u8> {
         let mut frame = Vec::with_capacity(8 + self.bytes.len());
         frame.extend_from_slice(&self.count.to_le_bytes());
