--- a/crates/program/src/cli.rs
+++ b/crates/program/src/cli.rs
@@ -1,10 +1,11 @@
-//! The program's command line, as a library so that the laboratory can start the very program.
+//! The command line of the program. It is a library module so that the laboratory can start the
+//! same program.
 
 use crate::config::Config;
 use crate::fleet::Membership;
 use crate::log;
-use crate::operator::Operator;
-use crate::serve::{self, Word};
+use crate::operator::OperatorConfig;
+use crate::serve::{self, ControlEvent};
 use async_signal::{Signal, Signals};
 use bpaf::{Bpaf, OptionParser, Parser, long};
 use futures_lite::StreamExt;
@@ -12,11 +13,12 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// A load-balancing sidecar: it takes a caller's requests, decides which target gets each, and when.
+/// A load-balancing sidecar: accepts clients' requests and decides which endpoint gets each one,
+/// and when.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(command))]
 pub enum Command {
-    /// Serve until told to stop by SIGTERM or SIGINT; read the configuration again on SIGHUP
+    /// Serve until SIGTERM or SIGINT; reload the configuration on SIGHUP
     #[bpaf(command)]
     Serve {
         /// The platform's configuration.
@@ -26,7 +28,7 @@
         #[bpaf(external(operator_file))]
         operator: Option<PathBuf>,
     },
-    /// Read the configuration and the operator's file, say what they come to, and start nothing
+    /// Read and check the configuration and the operator's file, print them, and start nothing
     #[bpaf(command)]
     Check {
         /// The platform's configuration.
@@ -44,10 +46,10 @@
     Version,
 }
 
-/// What to do with the operator's file.
+/// Commands on the operator's file.
 #[derive(Clone, Debug, Bpaf)]
 pub enum OperatorCommand {
-    /// Print a commented file with every key, as it holds when left out
+    /// Print a commented file with every key and its default
     #[bpaf(command)]
     Example,
 }
@@ -55,7 +57,7 @@
 /// The parser of the command line.
 pub fn options() -> OptionParser<Command> {
     command().to_options().descr(
-        "A load-balancing sidecar: it takes a caller's requests, decides which target gets each, and when.",
+        "A load-balancing sidecar: accepts clients' requests and decides which endpoint gets each one, and when.",
     )
 }
 
@@ -65,23 +67,27 @@
 
 fn operator_file() -> impl Parser<Option<PathBuf>> {
     long("operator")
-        .help("The operator's file, as TOML; without it all it speaks of is off")
+        .help("The operator's file, as TOML; without it, defaults apply")
         .argument("FILE")
         .optional()
 }
 
-fn operator(path: Option<PathBuf>) -> Result<Operator, String> {
-    path.map_or_else(|| Ok(Operator::default()), |path| Operator::load(&path).map_err(|e| e.to_string()))
+fn load_operator_file(path: Option<PathBuf>) -> Result<OperatorConfig, String> {
+    path.map_or_else(
+        || Ok(OperatorConfig::default()),
+        |path| OperatorConfig::load(&path).map_err(|e| e.to_string()),
+    )
 }
 
-/// Listens; with port 0 the system draws one, so the address is told too.
+/// Binds a listener and returns its address too: for port 0 the system chooses the port.
 fn listen(address: SocketAddr) -> Result<(TcpListener, SocketAddr), String> {
     let listener = TcpListener::bind(address).and_then(|l| l.local_addr().map(|address| (l, address)));
     listener.map_err(|e| format!("cannot listen on {address}: {e}"))
 }
 
-/// Listens where clients connect, beside a process of another version that may hold the same address for a
-/// while (SO_REUSEPORT): the kernel shares new connections out between the two until the old one leaves.
+/// Binds the clients' listener with SO_REUSEPORT, because a process of another version may hold the
+/// same address for a while: the kernel distributes new connections between the two until the older
+/// one closes its listener.
 pub fn listen_shared(address: SocketAddr) -> Result<(TcpListener, SocketAddr), String> {
     use socket2::{Domain, Protocol, Socket, Type};
     let shared = || -> std::io::Result<TcpListener> {
@@ -89,7 +95,7 @@
         socket.set_reuse_address(true)?;
         socket.set_reuse_port(true)?;
         socket.bind(&address.into())?;
-        // The backlog of the standard library's own listener.
+        // The same backlog as the standard library's listener.
         socket.listen(128)?;
         Ok(socket.into())
     };
@@ -99,53 +105,53 @@
 
 fn check(path: PathBuf, operator_path: Option<PathBuf>) -> Result<(), String> {
     let config = Config::load(&path).map_err(|e| e.to_string())?;
-    let operator = operator(operator_path)?;
+    let operator = load_operator_file(operator_path)?;
     println!("{config}\n{operator}");
     operator.fleet.name_or(&config.name).map(drop)
 }
 
 fn serve(path: PathBuf, operator_path: Option<PathBuf>) -> Result<(), String> {
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]);
-    let signals = signals.map_err(|e| format!("cannot take signals: {e}"))?;
+    let signals = signals.map_err(|e| format!("cannot register signal handlers: {e}"))?;
     let config = Config::load(&path).map_err(|e| e.to_string())?;
-    let operator = operator(operator_path)?;
+    let operator = load_operator_file(operator_path)?;
     log::start(&operator.log);
     let (listener, address) = listen_shared(config.listen)?;
-    let metrics = operator.metrics.listen.map(listen_for_metrics).transpose()?;
+    let metrics = operator.metrics.listen.map(bind_metrics_listener).transpose()?;
     let console = config.console.map(listen).transpose()?.map(|(listener, address)| {
         tracing::info!(listen = %address, "serves the console");
         listener
     });
     let fleet = Membership::start(&operator.fleet, &config.name)?;
     tracing::info!(name = config.name, listen = %address, "serves");
-    let words = Box::pin(signals.filter_map(move |signal| match signal {
-        Ok(Signal::Hup) => Some(Word::Reload(Config::load(&path).map(Box::new))),
-        Ok(_) => Some(Word::Stop),
-        // A wait for signals that fails, or is interrupted, tells nothing: the next one tells what has come.
+    let control_events = Box::pin(signals.filter_map(move |signal| match signal {
+        Ok(Signal::Hup) => Some(ControlEvent::Reload(Config::load(&path).map(Box::new))),
+        Ok(_) => Some(ControlEvent::Stop),
+        // A failed or interrupted wait loses no signal: the next wait reports it.
         Err(why) => {
-            tracing::warn!(%why, "a wait for signals failed");
+            tracing::warn!(%why, "waiting for signals failed");
             None
         }
     }));
     let listeners = serve::Listeners { clients: listener, metrics, console };
-    serve::run_in_fleet(config, listeners, fleet, words).map_err(|e| e.to_string())?;
-    tracing::info!("stopped, all answered");
+    serve::run_in_fleet(config, listeners, fleet, control_events).map_err(|e| e.to_string())?;
+    tracing::info!("stopped; all accepted requests were answered");
     Ok(())
 }
 
-fn listen_for_metrics(address: SocketAddr) -> Result<TcpListener, String> {
+fn bind_metrics_listener(address: SocketAddr) -> Result<TcpListener, String> {
     let (listener, address) = listen(address)?;
     tracing::info!(listen = %address, "serves metrics");
     Ok(listener)
 }
 
-/// Carries out a command; what it fails on is said in a line on standard error.
+/// Runs a command. An error is printed as one line on standard error.
 pub fn run(command: Command) -> ExitCode {
-    let done = match command {
+    let result = match command {
         Command::Serve { config, operator } => serve(config, operator),
         Command::Check { config, operator } => check(config, operator),
         Command::OperatorFile(OperatorCommand::Example) => {
-            print!("{}", Operator::example());
+            print!("{}", OperatorConfig::example());
             Ok(())
         }
         Command::Version => {
@@ -153,10 +159,10 @@
             Ok(())
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("cottonpoint: {why}");
+        Err(error) => {
+            eprintln!("cottonpoint: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/program/src/config.rs
+++ b/crates/program/src/config.rs
@@ -1,4 +1,4 @@
-//! The sidecar's configuration: the one place that reads it, checks it and gives defaults.
+//! The sidecar's configuration: reads and checks the platform's file and applies the defaults.
 
 use cottonpoint_net::list::{Answer, Names};
 use cottonpoint_settings::{self as settings, BadSetting, Platform};
@@ -8,59 +8,67 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Descriptors that are never given to connections: standard streams, the listener, discovery, signals and
-/// the event loop, and room to turn clients away.
-const RESERVE: usize = 24;
-const SOCKETS: u64 = 1024;
-/// With fewer descriptors than this the program does not start.
-const SOCKETS_MIN: u64 = 96;
+/// Descriptors that are never used for client or endpoint connections: standard streams, the
+/// listener, discovery, signals and the event loop, and spare ones to reject clients.
+const RESERVED_DESCRIPTORS: usize = 24;
+const DEFAULT_SOCKETS: u64 = 1024;
+/// The program does not start with fewer descriptors.
+const MIN_SOCKETS: u64 = 96;
 
-/// What is wrong with the configuration: the file, where it was read from one, the key, and why.
+/// A fault in the configuration: the file, if it was read from one, the key, and the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadConfig {
+pub struct ConfigError {
     file: Option<PathBuf>,
     key: String,
-    why: String,
+    reason: String,
 }
 
-impl fmt::Display for BadConfig {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.file {
-            Some(file) => write!(f, "configuration {}: {}: {}", file.display(), self.key, self.why),
-            None => write!(f, "configuration: {}: {}", self.key, self.why),
+            Some(file) => write!(f, "configuration {}: {}: {}", file.display(), self.key, self.reason),
+            None => write!(f, "configuration: {}: {}", self.key, self.reason),
         }
     }
 }
 
-impl From<BadSetting> for BadConfig {
-    fn from(BadSetting { key, why }: BadSetting) -> BadConfig {
-        BadConfig { file: None, key: if key.is_empty() { "(whole)".to_owned() } else { key }, why }
+impl From<BadSetting> for ConfigError {
+    fn from(BadSetting { key, why }: BadSetting) -> ConfigError {
+        ConfigError {
+            file: None,
+            key: if key.is_empty() { "(whole)".to_owned() } else { key },
+            reason: why,
+        }
     }
 }
 
-fn bad(key: &str, why: impl fmt::Display) -> BadConfig {
-    BadSetting::new(key, why).into()
+fn config_error(key: &str, reason: impl fmt::Display) -> ConfigError {
+    BadSetting::new(key, reason).into()
 }
 
-/// Requests come with the names of class and tenant: one without a name, or with that of another, gets none.
-fn named(list: &str, names: &[String]) -> Result<(), BadConfig> {
+/// Checks that all names are unique and not empty: requests select a class and a tenant by name, so
+/// an empty or duplicate name could not be selected.
+fn check_names(list: &str, names: &[String]) -> Result<(), ConfigError> {
     let mut seen = HashMap::new();
     for (i, name) in names.iter().enumerate() {
         let key = || format!("settings.{list}.{i}.name");
         if name.is_empty() {
-            return Err(bad(&key(), "must not be empty"));
+            return Err(config_error(&key(), "must not be empty"));
         }
         if let Some(first) = seen.insert(name, i) {
-            return Err(bad(&key(), format!("is that of settings.{list}.{first} too: {name}")));
+            return Err(config_error(
+                &key(),
+                format!("duplicates the name of settings.{list}.{first}: {name}"),
+            ));
         }
     }
     Ok(())
 }
 
-/// The file's keys; others are passed over.
+/// The keys of the file; unknown keys are ignored.
 #[derive(Deserialize)]
 #[serde(expecting = "an object")]
-struct File {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
@@ -97,89 +105,92 @@
     type Error = String;
 
     fn try_from(n: u64) -> Result<Self, String> {
-        let enough = (n >= SOCKETS_MIN).then_some(Sockets(n));
-        enough.ok_or_else(|| format!("must be a whole number of at least {SOCKETS_MIN}: {n}"))
+        let accepted = (n >= MIN_SOCKETS).then_some(Sockets(n));
+        accepted.ok_or_else(|| format!("must be a whole number of at least {MIN_SOCKETS}: {n}"))
     }
 }
 
-/// All that a sidecar is told at its start.
+/// The configuration that a sidecar starts with.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The sidecar's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The seed of all randomness.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// Client connections at most.
+    /// Maximum number of client connections.
     pub client_connections: usize,
-    /// Connections to targets at most.
+    /// Maximum number of connections to endpoints.
     pub target_connections: usize,
-    /// The list as last known.
+    /// The last known endpoint list, if any.
     pub known: Option<Answer>,
     /// The platform's settings.
     pub platform: Platform,
-    /// Where the console listens, if anywhere.
+    /// The console's address; `None` if the console is off.
     pub console: Option<SocketAddr>,
-    /// Where what outlives a process is kept (`$TMPDIR`), if anywhere.
-    pub state: Option<PathBuf>,
+    /// The directory of state that outlives a process (`$TMPDIR`), if any.
+    pub state_dir: Option<PathBuf>,
 }
 
 impl Config {
-    /// Reads the configuration from a file; `NODE_NAME`, `NODE_LISTEN` and `NODE_DISCOVERY` stand in for
-    /// what it does not say.
-    pub fn load(path: &Path) -> Result<Config, BadConfig> {
-        let text = std::fs::read_to_string(path).map_err(|e| bad("(whole)", e));
+    /// Reads the configuration from a file. The environment variables `NODE_NAME`, `NODE_LISTEN`,
+    /// `NODE_DISCOVERY` and `NODE_CONSOLE` supply the keys that it leaves out.
+    pub fn load(path: &Path) -> Result<Config, ConfigError> {
+        let text = std::fs::read_to_string(path).map_err(|e| config_error("(whole)", e));
         let config = text.and_then(|text| Config::parse(&text, |name| std::env::var(name).ok()));
-        config.map_err(|fault| BadConfig { file: Some(path.to_owned()), ..fault })
+        config.map_err(|error| ConfigError { file: Some(path.to_owned()), ..error })
     }
 
-    /// Reads the configuration from JSON text.
-    pub fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config, BadConfig> {
+    /// Reads the configuration from JSON text; `variable` looks up environment variables.
+    pub fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let mut json = serde_json::Deserializer::from_str(text);
-        let file: File = settings::read(&mut json)?;
-        json.end().map_err(|e| bad("(whole)", e))?;
-        let word = |key: &str, given: Option<String>, stand_in: &str| {
-            let missing = || bad(key, format!("is missing, and so is {stand_in}"));
-            given.or_else(|| variable(stand_in)).ok_or_else(missing)
+        let file: ConfigFile = settings::read(&mut json)?;
+        json.end().map_err(|e| config_error("(whole)", e))?;
+        let text_value = |key: &str, given: Option<String>, variable_name: &str| {
+            let missing = || config_error(key, format!("is missing, and {variable_name} is not set"));
+            given.or_else(|| variable(variable_name)).ok_or_else(missing)
         };
-        let address = |key: &str, given: Option<String>, stand_in: &str| {
-            let text = word(key, given, stand_in)?;
-            text.parse::<SocketAddr>().map_err(|_| bad(key, format!("must be an address and port: {text}")))
+        let address = |key: &str, given: Option<String>, variable_name: &str| {
+            let text = text_value(key, given, variable_name)?;
+            text.parse::<SocketAddr>()
+                .map_err(|_| config_error(key, format!("must be an address and port: {text}")))
         };
-        let sockets = file.limits.and_then(|limits| limits.sockets).map_or(SOCKETS, |Sockets(n)| n);
+        let sockets = file.limits.and_then(|limits| limits.sockets).map_or(DEFAULT_SOCKETS, |Sockets(n)| n);
         let mut platform =
-            file.settings.platform().map_err(|e| bad(&format!("settings.{}", e.key), e.why))?;
-        // On the socket any refusal may carry advice, whatever the simulator's clients are given.
+            file.settings.platform().map_err(|e| config_error(&format!("settings.{}", e.key), e.why))?;
+        // On sockets any refusal may carry a Retry-After, whatever the simulator gives its clients.
         platform.balancer.limits.max_retry_after = platform.max_retry_after;
-        named("lanes", &platform.classes)?;
-        named("orgs", &platform.tenants)?;
+        check_names("lanes", &platform.classes)?;
+        check_names("orgs", &platform.tenants)?;
         let mut known = file.known;
         if let Some(known) = &mut known {
             known.reset = true;
             let names = Names { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
-            known.listed(&names).map_err(|e| bad("known", e))?;
+            known.listed(&names).map_err(|e| config_error("known", e))?;
         }
-        // A flow holds a connection on either side; clients keep some more, and as many again come with no
-        // flow at all.
+        // A request in progress holds a connection on each side. Clients keep some more open, and
+        // as many again are opened without a request.
         let console = match file.console.or_else(|| variable("NODE_CONSOLE")) {
             None => None,
             given => Some(address("console", given, "NODE_CONSOLE")?),
         };
-        let callers = console.map_or(0, |_| cottonpoint_net::console::AT_ONCE);
-        let spare = usize::try_from(sockets).unwrap_or(usize::MAX).min(1 << 16) - RESERVE - callers;
-        let state = variable("TMPDIR").filter(|dir| !dir.is_empty()).map(PathBuf::from);
+        let console_connections = console.map_or(0, |_| cottonpoint_net::console::AT_ONCE);
+        let available = usize::try_from(sockets).unwrap_or(usize::MAX).min(1 << 16)
+            - RESERVED_DESCRIPTORS
+            - console_connections;
+        let state_dir = variable("TMPDIR").filter(|dir| !dir.is_empty()).map(PathBuf::from);
         Ok(Config {
             console,
-            state,
+            state_dir,
             name: file.name.or_else(|| variable("NODE_NAME")).unwrap_or_else(|| "cottonpoint".to_owned()),
             listen: address("listen", file.listen, "NODE_LISTEN")?,
             discovery: address("discovery", file.discovery, "NODE_DISCOVERY")?,
             seed: file.seed.map_or_else(|| fastrand::u64(..), |Seed(seed)| seed),
-            client_connections: spare * 5 / 8,
-            target_connections: spare * 3 / 8,
+            client_connections: available * 5 / 8,
+            target_connections: available * 3 / 8,
             known,
             platform,
         })
@@ -187,28 +198,29 @@
 }
 
 impl Config {
-    /// Takes over from a new configuration what a running sidecar can change, and says so in a line. The seed
-    /// and the list as last known matter at a start only.
-    pub fn change_to(&mut self, new: Config) -> String {
-        let fixed = [
+    /// Applies what a running sidecar can change to another configuration, and returns a line for
+    /// the log. The seed and the last known list matter at a start only.
+    pub fn apply(&mut self, new: Config) -> String {
+        let restart_only = [
             ("name", self.name != new.name),
             ("listen", self.listen != new.listen),
             ("console", self.console != new.console),
         ];
-        let retuned = self.platform != new.platform;
-        let fixed: Vec<_> = fixed.iter().filter(|(_, changed)| *changed).map(|(key, _)| *key).collect();
+        let settings_changed = self.platform != new.platform;
+        let restart_only: Vec<_> =
+            restart_only.iter().filter(|(_, changed)| *changed).map(|(key, _)| *key).collect();
         self.discovery = new.discovery;
         self.platform = new.platform;
         self.client_connections = new.client_connections;
         self.target_connections = new.target_connections;
-        let mut said = format!("new configuration, discovery at {}", self.discovery);
-        if retuned {
-            said += &format!("; new settings, classes {}", self.platform.classes.join(", "));
+        let mut summary = format!("configuration reloaded; discovery at {}", self.discovery);
+        if settings_changed {
+            summary += &format!("; new settings, classes {}", self.platform.classes.join(", "));
         }
-        if !fixed.is_empty() {
-            said += &format!("; changes at the next start only: {}", fixed.join(", "));
+        if !restart_only.is_empty() {
+            summary += &format!("; changed only by a restart: {}", restart_only.join(", "));
         }
-        said
+        summary
     }
 }
 
--- a/crates/program/src/console.rs
+++ b/crates/program/src/console.rs
@@ -1,7 +1,7 @@
-//! The console's calls, carried out on the running sidecar: its figures, endpoints out by hand, drains.
+//! Console commands, carried out on the running sidecar: statistics, disabled endpoints, drains.
 
 use crate::fleet::{self, Membership};
-use crate::taken_out::{OUT_LIMIT, TakenOut};
+use crate::taken_out::{DISABLED_LIMIT, DisabledEndpoints};
 use cottonpoint_core::{Sidecar, target_id};
 use cottonpoint_mesh::Command;
 use cottonpoint_net::clients::Clients;
@@ -10,7 +10,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// All that the console's calls act on.
+/// What the console commands act on.
 pub struct Console {
     /// The core.
     pub sidecar: Rc<Sidecar>,
@@ -18,84 +18,86 @@
     pub clients: Rc<Clients>,
     /// The classes of the settings in force, in order.
     pub classes: Rc<RefCell<Vec<String>>>,
-    /// Endpoints out by hand.
-    pub out: Rc<TakenOut>,
-    /// Whether the process has been told to stop.
+    /// Endpoints disabled by the operator.
+    pub disabled: Rc<DisabledEndpoints>,
+    /// Whether the process is stopping.
     pub stopping: Rc<Cell<bool>>,
-    /// The fleet, where it is on.
+    /// The fleet membership, if it is on.
     pub fleet: Option<Rc<Membership>>,
 }
 
 impl Console {
-    /// Takes out again what an earlier process had taken out.
-    pub fn restore(&self) {
-        for name in self.out.names() {
+    /// Disables the endpoints that an earlier process had disabled.
+    pub fn restore_disabled(&self) {
+        for name in self.disabled.names() {
             self.sidecar.restore_out(target_id(&name));
         }
     }
 
-    /// Follows what another process of the sidecar has written to the file meanwhile.
-    pub fn follow_file(&self) {
-        let Some((taken_out, put_back)) = self.out.changed() else { return };
-        for name in taken_out {
+    /// Applies what another process of the sidecar has changed in the file meanwhile.
+    pub fn apply_file_changes(&self) {
+        let Some((disabled, enabled)) = self.disabled.read_changes() else { return };
+        for name in disabled {
             self.sidecar.restore_out(target_id(&name));
         }
-        for name in put_back {
+        for name in enabled {
             let _ = self.sidecar.set_out(target_id(&name), false);
         }
     }
 
-    /// The whole answer to a call.
-    pub fn answer(&self, call: Call) -> String {
-        match call {
+    /// Carries out a command and returns the whole answer.
+    pub fn answer(&self, command: Call) -> String {
+        match command {
             Call::Health if self.stopping.get() => answer_line(Err("stopping".to_owned())),
             Call::Health => answer_line(Ok(String::new())),
-            // The figures stand alone, as one JSON line, then the line that ends them.
-            Call::Dump => format!("{}\n.\n", self.figures()),
+            // The statistics have no status line: one JSON line, then the line that ends the
+            // answer.
+            Call::Dump => format!("{}\n.\n", self.statistics()),
             Call::Peers => match self.fleet.as_ref().map(|fleet| fleet.handle()) {
-                Some(Some(fleet)) => format!("{}\n.\n", fleet::figures(fleet)),
+                Some(Some(fleet)) => format!("{}\n.\n", fleet::statistics(fleet)),
                 Some(None) => answer_line(Err("the fleet's address is held by another process".to_owned())),
                 None => answer_line(Err("the fleet is off".to_owned())),
             },
             Call::Leave => {
                 self.clients.drain();
-                self.fleet.iter().for_each(|fleet| fleet.tell(Command::Leave));
+                self.fleet.iter().for_each(|fleet| fleet.send_command(Command::Leave));
                 answer_line(Ok(String::new()))
             }
             Call::Join => {
                 self.clients.join();
-                // One that ends has said its goodbye for good.
+                // A stopping process has left the fleet for good.
                 self.fleet
                     .iter()
                     .filter(|_| !self.stopping.get())
-                    .for_each(|fleet| fleet.tell(Command::Join));
+                    .for_each(|fleet| fleet.send_command(Command::Join));
                 answer_line(Ok(String::new()))
             }
-            Call::Offline(name) if self.out.is_full() => {
-                answer_line(Err(format!("{name}: {OUT_LIMIT} endpoints are out already")))
+            Call::Offline(name) if self.disabled.is_full() => {
+                answer_line(Err(format!("{name}: {DISABLED_LIMIT} endpoints are out already")))
             }
-            Call::Offline(name) => self.set_out(&name, true),
-            Call::Online(name) => self.set_out(&name, false),
+            Call::Offline(name) => self.set_disabled(&name, true),
+            Call::Online(name) => self.set_disabled(&name, false),
         }
     }
 
-    fn set_out(&self, name: &str, out: bool) -> String {
-        if self.sidecar.set_out(target_id(name), out).is_err() {
+    fn set_disabled(&self, name: &str, disable: bool) -> String {
+        if self.sidecar.set_out(target_id(name), disable).is_err() {
             return answer_line(Err(format!("no endpoint {} was ever listed", name.escape_debug())));
         }
-        self.out.set(name, out);
+        self.disabled.set(name, disable);
         answer_line(Ok(String::new()))
     }
 
-    /// The figures as one JSON object: every class of the settings in force, and those counted before.
-    pub fn figures(&self) -> Value {
+    /// The statistics as one JSON object: every class of the settings in force, and classes counted
+    /// before.
+    pub fn statistics(&self) -> Value {
         let counts = self.sidecar.counts();
         let mut operations = Map::new();
         for class in self.classes.borrow().iter() {
-            operations.insert(class.clone(), figures_of(Default::default()));
+            operations.insert(class.clone(), class_statistics(Default::default()));
         }
         for (class, c) in counts.classes() {
-            operations.insert(class, figures_of(c));
+            operations.insert(class, class_statistics(c));
         }
         let relayed: u64 = counts.classes().values().map(|c| c.relayed).sum();
         let (listed, out_of_rotation) = self.sidecar.rotation();
@@ -112,6 +114,6 @@
     }
 }
 
-fn figures_of(c: cottonpoint_core::ClassCounts) -> Value {
+fn class_statistics(c: cottonpoint_core::ClassCounts) -> Value {
     json!({"fulfilled": c.fulfilled, "throttled": c.throttled, "faulted": c.faulted, "relayed": c.relayed})
 }
--- a/crates/program/src/fleet.rs
+++ b/crates/program/src/fleet.rs
@@ -1,7 +1,7 @@
-//! The fleet of sidecars, where `[fleet]` of the operator's file says so: its start, and its figures for the console
-//! and the metrics.
+//! The fleet of sidecars, if `[fleet]` of the operator's file turns it on: its start, and its
+//! statistics for the console and the metrics.
 
-use crate::operator::Fleet;
+use crate::operator::FleetConfig;
 use async_io::Timer;
 use cottonpoint_mesh::seal::Refusal;
 use cottonpoint_mesh::{Command, Figures, Handle, Mesh, Settings, id_of};
@@ -12,26 +12,28 @@
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
 use std::time::Duration;
 
-/// How often a process asks again for an address that another one holds: an older version beside it holds it for
-/// seconds, and the others have its goodbye meanwhile.
-const ASK_AGAIN: Duration = Duration::from_millis(200);
+/// Interval between attempts to bind an address that another process holds: an older version beside
+/// this one holds it for seconds, and the other members learn meanwhile that it has left.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// This process in its fleet. Its address may still be held by an older version of the sidecar beside it, which is
-/// the member until it ends: two processes of one name would contradict each other.
+/// This process as a member of its fleet. Its address may still be held by an older version of the
+/// sidecar beside it, which is the member until it ends: two processes of one name would contradict
+/// each other.
 pub struct Membership {
     listen: SocketAddrV4,
     settings: Settings,
     mesh: RefCell<Option<Mesh>>,
-    /// Where the mesh has started.
+    /// Set once the mesh has started.
     handle: OnceCell<Handle>,
-    /// Whether the last word was to leave.
-    left: Cell<bool>,
+    /// Whether the last command was to leave.
+    leave_requested: Cell<bool>,
 }
 
 impl Membership {
-    /// Starts it, if it is on. `name` is the configuration's, for a fleet that names none. An address that another
-    /// process holds is no failure: the clients are served, and the fleet waits.
-    pub fn start(fleet: &Fleet, name: &str) -> Result<Option<Membership>, String> {
+    /// Starts the membership, if it is on. `name` is the configuration's, for a table that has
+    /// none. An address that another process holds is not an error: clients are served, and the
+    /// address is tried again.
+    pub fn start(fleet: &FleetConfig, name: &str) -> Result<Option<Membership>, String> {
         let Some(listen) = fleet.listen else { return Ok(None) };
         let name = fleet.name_or(name)?;
         let peers = cottonpoint_peers::Settings {
@@ -44,25 +46,25 @@
             period: Duration::from_millis(fleet.period_ms),
             seed: fastrand::u64(..),
         };
-        let (cluster, keys) = (fleet.cluster.clone(), fleet.read.clone());
+        let (cluster, keys) = (fleet.cluster.clone(), fleet.loaded_keys.clone());
         let settings = Settings { peers, cluster, keys, workers: fleet.workers };
-        let (mesh, handle, left) = Default::default();
-        let membership = Membership { listen, settings, mesh, handle, left };
-        match membership.open() {
+        let (mesh, handle, leave_requested) = Default::default();
+        let membership = Membership { listen, settings, mesh, handle, leave_requested };
+        match membership.bind_and_start() {
             Err(e) if e.kind() == ErrorKind::AddrInUse => {
-                tracing::warn!(%listen, "the fleet's address is held by another process: this one waits for it");
+                tracing::warn!(%listen, "the fleet's address is held by another process; waiting for it");
             }
-            Err(e) => return Err(format!("the fleet cannot listen on {listen}: {e}")),
+            Err(e) => return Err(format!("cannot bind the fleet's address {listen}: {e}")),
             Ok(()) => {}
         }
         Ok(Some(membership))
     }
 
-    fn open(&self) -> io::Result<()> {
+    fn bind_and_start(&self) -> io::Result<()> {
         let socket = UdpSocket::bind(self.listen)?;
         let bound = socket.local_addr()?;
         let mut settings = self.settings.clone();
-        // With port 0 the system has drawn one.
+        // For port 0 the system has chosen one.
         if let (SocketAddr::V4(bound), 0) = (bound, settings.peers.address.port()) {
             settings.peers.address.set_port(bound.port());
         }
@@ -74,34 +76,36 @@
         Ok(())
     }
 
-    /// Asks for the address until it is free; not while it is to be left.
-    pub async fn wait_for_address(&self) {
+    /// Tries to bind the address until that succeeds, except while the last command is to leave.
+    pub async fn join_when_address_is_free(&self) {
         while self.handle.get().is_none() {
-            Timer::after(ASK_AGAIN).await;
-            if !self.left.get() {
-                let _ = self.open().inspect_err(|e| tracing::debug!(%e, "the fleet cannot listen"));
+            Timer::after(BIND_RETRY_INTERVAL).await;
+            if !self.leave_requested.get() {
+                let _ = self
+                    .bind_and_start()
+                    .inspect_err(|e| tracing::debug!(%e, "cannot bind the fleet's address"));
             }
         }
     }
 
-    /// What reads the fleet and talks to it, once it has started.
+    /// The handle to read the fleet's state and to send it commands, once it has started.
     pub fn handle(&self) -> Option<&Handle> {
         self.handle.get()
     }
 
-    /// Leaves, or is a member again.
-    pub fn tell(&self, command: Command) {
-        self.left.set(command == Command::Leave);
+    /// Leaves the fleet, or joins it again.
+    pub fn send_command(&self, command: Command) {
+        self.leave_requested.set(command == Command::Leave);
         self.handle.get().into_iter().for_each(|handle| handle.tell(command));
     }
 
-    /// Ends the workers, and waits for them: they are never long in anything.
-    pub fn end(&self) {
+    /// Stops the workers and waits for them; none of them blocks for long.
+    pub fn shut_down(&self) {
         drop(self.mesh.take());
     }
 }
 
-fn standing(standing: Standing) -> &'static str {
+fn standing_label(standing: Standing) -> &'static str {
     match standing {
         Standing::Reachable => "reachable",
         Standing::Suspected => "suspected",
@@ -110,7 +114,7 @@
     }
 }
 
-fn part(part: Part) -> &'static str {
+fn part_label(part: Part) -> &'static str {
     match part {
         Part::Alone => "alone",
         Part::Whole => "whole",
@@ -119,11 +123,11 @@
     }
 }
 
-/// What `PEERS` answers: the view, and what shell and plane have counted.
-pub fn figures(fleet: &Handle) -> Value {
+/// The answer to `PEERS`: the membership view, and the counters of the mesh and of the protocol.
+pub fn statistics(fleet: &Handle) -> Value {
     let (snapshot, now) = (fleet.snapshot(), fleet.now());
     let view = &snapshot.view;
-    let id = |n: u64| format!("{n:016x}");
+    let hex = |n: u64| format!("{n:016x}");
     let members: Vec<Value> = view
         .members
         .iter()
@@ -131,21 +135,21 @@
             let news = &member.news;
             json!({
                 "name": news.name,
-                "id": id(news.id.0),
+                "id": hex(news.id.0),
                 "address": news.address.to_string(),
                 "incarnation": news.incarnation,
-                "boot": id(news.boot),
-                "standing": standing(news.standing),
+                "boot": hex(news.boot),
+                "standing": standing_label(news.standing),
                 "since_ms": u64::try_from(now.since(member.since).as_millis()).unwrap_or(u64::MAX),
             })
         })
         .collect();
     let me = view.members.iter().find(|member| member.news.id == view.me);
     json!({
-        "me": id(view.me.0),
+        "me": hex(view.me.0),
         "name": me.map(|me| me.news.name.as_str()),
         "incarnation": view.incarnation,
-        "part": part(view.part),
+        "part": part_label(view.part),
         "unwell": view.unwell,
         "version": view.version,
         "members": members,
@@ -153,50 +157,50 @@
     })
 }
 
-fn counts(shell: &Figures, plane: &Counts) -> Value {
+fn counts(mesh: &Figures, protocol: &Counts) -> Value {
     let refused: Map<String, Value> =
-        Refusal::ALL.iter().zip(shell.refused).map(|(why, n)| (why.word().to_owned(), n.into())).collect();
+        Refusal::ALL.iter().zip(mesh.refused).map(|(why, n)| (why.word().to_owned(), n.into())).collect();
     json!({
-        "datagrams_in": shell.taken,
-        "datagrams_out": shell.sent,
+        "datagrams_in": mesh.taken,
+        "datagrams_out": mesh.sent,
         "refused": refused,
-        "receive_failed": shell.receive_failed,
-        "send_failed": shell.send_failed,
-        "too_long_to_send": shell.too_long,
-        "commands_dropped": shell.commands_dropped,
-        "worker_panics": shell.panics,
-        "pings": plane.pings,
-        "acks": plane.acks,
-        "nacks": plane.nacks,
-        "helped": plane.helped,
-        "knocks": plane.knocks,
-        "suspicions": plane.suspicions,
-        "deaths": plane.deaths,
-        "refutations": plane.refutations,
-        "namesakes": plane.namesakes,
-        "syncs": plane.syncs,
-        "given": plane.given,
-        "withheld": plane.withheld,
-        "full": plane.full,
-        "forgotten": plane.forgotten,
-        "bad": plane.bad,
-        "absurd": plane.absurd,
-        "late": plane.late,
+        "receive_failed": mesh.receive_failed,
+        "send_failed": mesh.send_failed,
+        "too_long_to_send": mesh.too_long,
+        "commands_dropped": mesh.commands_dropped,
+        "worker_panics": mesh.panics,
+        "pings": protocol.pings,
+        "acks": protocol.acks,
+        "nacks": protocol.nacks,
+        "helped": protocol.helped,
+        "knocks": protocol.knocks,
+        "suspicions": protocol.suspicions,
+        "deaths": protocol.deaths,
+        "refutations": protocol.refutations,
+        "namesakes": protocol.namesakes,
+        "syncs": protocol.syncs,
+        "given": protocol.given,
+        "withheld": protocol.withheld,
+        "full": protocol.full,
+        "forgotten": protocol.forgotten,
+        "bad": protocol.bad,
+        "absurd": protocol.absurd,
+        "late": protocol.late,
     })
 }
 
-/// For the metrics: members by standing, and datagrams by what became of them.
-pub fn counted(fleet: &Handle) -> [Vec<(&'static str, u64)>; 2] {
-    let (snapshot, shell) = (fleet.snapshot(), fleet.figures());
-    let held = |of| snapshot.view.members.iter().filter(|member| member.news.standing == of).count();
-    let all = [Standing::Reachable, Standing::Suspected, Standing::LastKnown, Standing::Left];
-    let members = all.iter().map(|&of| (standing(of), held(of) as u64)).collect();
+/// Values for the metrics: members by standing, and datagrams by result.
+pub fn metric_values(fleet: &Handle) -> [Vec<(&'static str, u64)>; 2] {
+    let (snapshot, mesh) = (fleet.snapshot(), fleet.figures());
+    let count = |of| snapshot.view.members.iter().filter(|member| member.news.standing == of).count();
+    let standings = [Standing::Reachable, Standing::Suspected, Standing::LastKnown, Standing::Left];
+    let members = standings.iter().map(|&of| (standing_label(of), count(of) as u64)).collect();
     let mut datagrams = vec![
-        ("taken", shell.taken),
-        ("sent", shell.sent),
-        ("receive_failed", shell.receive_failed),
-        ("send_failed", shell.send_failed),
+        ("taken", mesh.taken),
+        ("sent", mesh.sent),
+        ("receive_failed", mesh.receive_failed),
+        ("send_failed", mesh.send_failed),
     ];
-    datagrams.extend(Refusal::ALL.iter().map(|why| why.word()).zip(shell.refused));
+    datagrams.extend(Refusal::ALL.iter().map(|why| why.word()).zip(mesh.refused));
     [members, datagrams]
 }
--- a/crates/program/src/lib.rs
+++ b/crates/program/src/lib.rs
@@ -1,7 +1,7 @@
-//! cottonpoint, the program: its configuration, and its parts put together.
+//! The cottonpoint program: command line, configuration, and the wiring of the crates below it.
 //!
-//! The floors below stand in crates of their own and are named here as before: the decision module and its
-//! interface (`cottonpoint-decide`), the platform's settings, the core (`sidecar`) and what speaks on sockets
+//! The crates below are re-exported here: the decision module and its interface
+//! (`cottonpoint-decide`), the platform's settings, the core (`sidecar`) and the socket layer
 //! (`net`).
 
 pub mod cli;
--- a/crates/program/src/log.rs
+++ b/crates/program/src/log.rs
@@ -1,6 +1,6 @@
-//! Logs: lines on standard error, by tracing, with a bound on what one place may say.
+//! Logging to standard error with tracing, with a rate limit for each callsite.
 
-use crate::operator::{Form, Log};
+use crate::operator::{LogConfig, LogFormat};
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -13,43 +13,47 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// What one place may still say: so many lines in a minute, counted anew from the first.
+/// The rate limit of one callsite: a number of lines per window. A window lasts at least a minute
+/// and ends with the first line after that.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance {
-    since: Instant,
-    said: u32,
-    left_out: u64,
+pub struct RateLimit {
+    window_start: Instant,
+    written: u32,
+    suppressed: u64,
 }
 
-impl Allowance {
-    /// Nothing said yet.
-    pub fn new(now: Instant) -> Allowance {
-        Allowance { since: now, said: 0, left_out: 0 }
+impl RateLimit {
+    /// A window that starts now, without any lines.
+    pub fn new(now: Instant) -> RateLimit {
+        RateLimit { window_start: now, written: 0, suppressed: 0 }
     }
 
-    /// Whether a line may be written now. With the first one of a new minute come those left out before it.
-    pub fn take(&mut self, now: Instant, most: u32) -> Option<u64> {
-        let mut left_out = 0;
-        if now.saturating_duration_since(self.since) >= MINUTE {
-            left_out = self.left_out;
-            *self = Allowance::new(now);
+    /// Returns `None` if the callsite has reached its limit. Otherwise the line may be written, and
+    /// the result is the number of lines suppressed in the window that this line has ended, if it
+    /// has.
+    pub fn try_acquire(&mut self, now: Instant, limit: u32) -> Option<u64> {
+        let mut suppressed = 0;
+        if now.saturating_duration_since(self.window_start) >= MINUTE {
+            suppressed = self.suppressed;
+            *self = RateLimit::new(now);
         }
-        if self.said >= most {
-            self.left_out += 1;
+        if self.written >= limit {
+            self.suppressed += 1;
             return None;
         }
-        self.said += 1;
-        Some(left_out)
+        self.written += 1;
+        Some(suppressed)
     }
 }
 
-/// Leaves out what one place says too often. Places are those of the program's text: a bounded number.
-struct Bounded {
-    most: u32,
-    places: Mutex<HashMap<Identifier, Allowance>>,
+/// Suppresses the warnings and errors of a callsite that exceeds its limit. Callsites are places in
+/// the program's text, so their number is bounded.
+struct RateLimitFilter {
+    limit: u32,
+    callsites: Mutex<HashMap<Identifier, RateLimit>>,
 }
 
-impl<S: Subscriber> Filter<S> for Bounded {
+impl<S: Subscriber> Filter<S> for RateLimitFilter {
     fn enabled(&self, _: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         true
     }
@@ -60,34 +64,36 @@
             return true;
         }
         let now = Instant::now();
-        let Ok(mut places) = self.places.lock() else { return true };
-        let allowance = places.entry(metadata.callsite()).or_insert_with(|| Allowance::new(now));
-        match allowance.take(now, self.most) {
+        let Ok(mut callsites) = self.callsites.lock() else { return true };
+        let rate_limit = callsites.entry(metadata.callsite()).or_insert_with(|| RateLimit::new(now));
+        match rate_limit.try_acquire(now, self.limit) {
             None => false,
             Some(0) => true,
-            Some(left_out) => {
-                // Not by tracing: the place is locked, and this line must not be bounded itself.
-                eprintln!("cottonpoint: {left_out} lines like the next were left out");
+            Some(suppressed) => {
+                // Not written by tracing: the map is locked, and this line must not be rate-limited
+                // itself.
+                eprintln!("cottonpoint: {suppressed} lines like the next were suppressed");
                 true
             }
         }
     }
 }
 
-/// Sends log lines to standard error from now on, as the operator wants them. Later calls change nothing.
-pub fn start(log: &Log) {
+/// Installs the subscriber that writes log lines to standard error, as configured. Later calls
+/// change nothing.
+pub fn start(log: &LogConfig) {
     let level = |text: &str| text.parse().unwrap_or(LevelFilter::INFO);
     let modules = log.modules.iter().map(|(module, l)| (module.clone(), level(l)));
     let targets = Targets::new().with_default(level(&log.level)).with_targets(modules);
-    let bounded = Bounded { most: log.warnings_per_minute, places: Mutex::default() };
+    let filter = RateLimitFilter { limit: log.warnings_per_minute, callsites: Mutex::default() };
     let lines = fmt::layer().with_writer(std::io::stderr).with_ansi(false);
-    // Twice started is once too often, as in tests: the first one stays.
+    // A second start, as in tests, fails here: the first subscriber stays.
     let _ = match log.form {
-        Form::Text => tracing::subscriber::set_global_default(
-            Registry::default().with(lines.with_filter(bounded)).with(targets),
+        LogFormat::Text => tracing::subscriber::set_global_default(
+            Registry::default().with(lines.with_filter(filter)).with(targets),
         ),
-        Form::Json => tracing::subscriber::set_global_default(
-            Registry::default().with(lines.json().flatten_event(true).with_filter(bounded)).with(targets),
+        LogFormat::Json => tracing::subscriber::set_global_default(
+            Registry::default().with(lines.json().flatten_event(true).with_filter(filter)).with(targets),
         ),
     };
 }
@@ -96,19 +102,19 @@
 mod tests {
     use super::*;
 
-    /// Guards against: a log flooded by one fault, and lines left out without a word.
+    /// Guards against a log flooded by one fault, and against lines suppressed without a notice.
     #[test]
-    fn a_place_says_so_much_in_a_minute_and_owns_up_to_the_rest() {
+    fn callsite_is_rate_limited_and_suppressed_lines_are_counted() {
         let start = Instant::now();
-        let mut place = Allowance::new(start);
+        let mut rate_limit = RateLimit::new(start);
         let at = |s: u64| start + Duration::from_secs(s);
         assert_eq!(
-            (0..5).map(|s| place.take(at(s), 2)).collect::<Vec<_>>(),
+            (0..5).map(|s| rate_limit.try_acquire(at(s), 2)).collect::<Vec<_>>(),
             [Some(0), Some(0), None, None, None]
         );
-        assert_eq!(place.take(at(60), 2), Some(3));
-        assert_eq!(place.take(at(61), 2), Some(0));
-        assert_eq!(place.take(at(119), 2), None);
-        assert_eq!(place.take(at(200), 2), Some(1));
+        assert_eq!(rate_limit.try_acquire(at(60), 2), Some(3));
+        assert_eq!(rate_limit.try_acquire(at(61), 2), Some(0));
+        assert_eq!(rate_limit.try_acquire(at(119), 2), None);
+        assert_eq!(rate_limit.try_acquire(at(200), 2), Some(1));
     }
 }
--- a/crates/program/src/metrics.rs
+++ b/crates/program/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics: what the core has counted, in the OpenMetrics text format, on a port of the operator's.
+//! Metrics: the core's counters in the OpenMetrics text format, on an address of the operator's.
 
 use crate::fleet::{self, Membership};
 use async_io::{Async, Timer};
@@ -21,35 +21,36 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-/// Who asks has this long, all in all; one is served at a time, so that none holds memory or descriptors.
-const PATIENCE: Duration = Duration::from_secs(2);
-const ACCEPT_AGAIN: Duration = Duration::from_millis(200);
+/// Time limit for a whole request. One is served at a time, so that none holds memory or
+/// descriptors.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct Label {
+struct ResultLabel {
     result: &'static str,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct Stands {
+struct StandingLabel {
     standing: &'static str,
 }
 
-/// What the figures are taken from.
-pub struct Watched {
+/// Serves metrics, which it takes from these parts.
+pub struct MetricsServer {
     /// The core.
     pub sidecar: Rc<Sidecar>,
     /// Client connections.
     pub clients: Rc<Clients>,
-    /// Connections to targets.
+    /// Connections to endpoints.
     pub servers: Rc<Servers>,
-    /// The fleet, where it is on.
+    /// The fleet membership, if it is on.
     pub fleet: Option<Rc<Membership>>,
 }
 
-impl Watched {
-    /// The page as it stands now.
-    pub fn page(&self) -> String {
+impl MetricsServer {
+    /// Renders the current values.
+    pub fn render(&self) -> String {
         let counts = self.sidecar.counts();
         let mut registry = Registry::with_prefix("cottonpoint");
         let admitted: Counter = Counter::default();
@@ -62,20 +63,20 @@
             "Requests that could not be read, or not be served as they were",
             bad,
         );
-        let family = |of: &mut dyn Iterator<Item = (&'static str, u64)>| {
-            let family = Family::<Label, Counter>::default();
-            for (result, n) in of {
-                family.get_or_create(&Label { result }).inc_by(n);
+        let family = |values: &mut dyn Iterator<Item = (&'static str, u64)>| {
+            let family = Family::<ResultLabel, Counter>::default();
+            for (result, n) in values {
+                family.get_or_create(&ResultLabel { result }).inc_by(n);
             }
             family
         };
         let ended = family(&mut counts.ended().into_iter());
         registry.register("flows_ended", "Flows that no target's answer ended, by how they ended", ended);
-        let outcomes = counts.attempts().map(|(outcome, n)| (word(outcome), n));
+        let outcomes = counts.attempts().map(|(outcome, n)| (outcome_label(outcome), n));
         let attempts = family(&mut { outcomes });
         registry.register("forwards", "Attempts at endpoints, by outcome", attempts);
-        let (told, failed) = counts.lists();
-        let lists = family(&mut [("told", told), ("failed", failed)].into_iter());
+        let (received, failed) = counts.lists();
+        let lists = family(&mut [("told", received), ("failed", failed)].into_iter());
         registry.register("lists", "Lists and changes of discovery, and failures to have them", lists);
         let polls = family(&mut counts.poll_failures().into_iter());
         registry.register(
@@ -101,7 +102,7 @@
             gauge.set(time.as_secs_f64());
             gauge
         };
-        // Without a list from discovery there is no age.
+        // There is no age before discovery has sent a list.
         if let Some(age) = age {
             registry.register(
                 "list_age_seconds",
@@ -118,10 +119,10 @@
             gauge(self.sidecar.targets_that_take_work()),
         );
         if let Some(fleet) = self.fleet.as_ref().and_then(|fleet| fleet.handle()) {
-            let [members, datagrams] = fleet::counted(fleet);
-            let gauges = Family::<Stands, Gauge>::default();
+            let [members, datagrams] = fleet::metric_values(fleet);
+            let gauges = Family::<StandingLabel, Gauge>::default();
             for (standing, n) in members {
-                gauges.get_or_create(&Stands { standing }).set(i64::try_from(n).unwrap_or(i64::MAX));
+                gauges.get_or_create(&StandingLabel { standing }).set(i64::try_from(n).unwrap_or(i64::MAX));
             }
             registry.register("fleet_members", "Members of the fleet held, by standing", gauges);
             let datagrams = family(&mut datagrams.into_iter());
@@ -143,10 +144,10 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let answered = within(PATIENCE, self.answer(&stream)).await.is_ok();
+                    let answered = within(REQUEST_TIMEOUT, self.answer(&stream)).await.is_ok();
                     close(&stream, if answered { LINGER } else { Duration::ZERO }).await;
                 }
-                Err(_) => drop(Timer::after(ACCEPT_AGAIN).await),
+                Err(_) => drop(Timer::after(ACCEPT_RETRY_DELAY).await),
             }
             future::yield_now().await;
         }
@@ -156,8 +157,10 @@
         stream.get_ref().set_nodelay(true)?;
         let (mut buffer, mut reader) = (Buffer::default(), stream);
         let head = http::read_head(&mut buffer, &mut reader, http::begins_request).await;
-        let asked = matches!(head, Ok(Some(head)) if head.line[0] == "GET" && head.line[1] == "/metrics");
-        let (status, body) = if asked { ("200 OK", self.page()) } else { ("404 Not Found", String::new()) };
+        let is_metrics_request =
+            matches!(head, Ok(Some(head)) if head.line[0] == "GET" && head.line[1] == "/metrics");
+        let (status, body) =
+            if is_metrics_request { ("200 OK", self.render()) } else { ("404 Not Found", String::new()) };
         let answer = format!(
             "HTTP/1.1 {status}\r\nContent-Type: application/openmetrics-text; version=1.0.0; charset=utf-8\r\n\
              Content-Length: {}\r\nConnection: close\r\n\r\n{body}",
@@ -167,7 +170,7 @@
     }
 }
 
-fn word(outcome: cottonpoint_decide::Outcome) -> &'static str {
+fn outcome_label(outcome: cottonpoint_decide::Outcome) -> &'static str {
     use cottonpoint_decide::Outcome;
     match outcome {
         Outcome::Ok => "served",
--- a/crates/program/src/operator/fleet.rs
+++ b/crates/program/src/operator/fleet.rs
@@ -1,4 +1,4 @@
-//! `[fleet]`: whether this sidecar talks with others, and how.
+//! `[fleet]`: this sidecar's membership in a fleet.
 
 use cottonpoint_file::{Fault, Text};
 use cottonpoint_mesh::WORKERS_LIMIT;
@@ -11,47 +11,48 @@
 use std::path::{Path, PathBuf};
 use toml_example::TomlExample;
 
-/// Seeds at most: a few that are up suffice to meet all others.
-const SEEDS_LIMIT: usize = 64;
-/// Below 200 ms an ordinary wait for a processor looks like a death; above a minute a crash is news for nobody.
-const PERIODS_MS: RangeInclusive<u64> = 200..=60_000;
+/// Maximum number of seeds: a few reachable ones suffice to find all other members.
+const MAX_SEEDS: usize = 64;
+/// Below 200 ms an ordinary scheduling delay looks like a crash; above a minute a crash is detected
+/// too late to be of use.
+const PERIOD_RANGE_MS: RangeInclusive<u64> = 200..=60_000;
 
-/// Sidecars that know each other, over UDP (IPv4). All of it is off without `listen`.
+/// Membership protocol between sidecars, over UDP (IPv4). It is off without `listen`.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, TomlExample)]
 #[serde(deny_unknown_fields, default)]
-pub struct Fleet {
-    /// Where this sidecar hears the others, such as "10.0.0.7:7946"; off if left out.
+pub struct FleetConfig {
+    /// The address that receives the fleet's datagrams, such as "10.0.0.7:7946"; off if left out.
     #[toml_example(default = "10.0.0.7:7946")]
     pub listen: Option<SocketAddrV4>,
-    /// Where the others reach it, if not at `listen`.
+    /// The address at which other members reach this one, if it is not `listen`.
     #[toml_example(default = "10.0.0.7:7946")]
     pub advertise: Option<SocketAddrV4>,
-    /// The fleet's name, the same at all its members.
+    /// The fleet's name, the same for all its members.
     #[toml_example(default = "archive")]
     pub cluster: String,
-    /// Files with a key each, 16 to 1024 bytes: the first signs, any is taken.
+    /// Files with one key each, 16 to 1024 bytes: the first key signs, every key is accepted.
     #[toml_example(default = ["fleet.key"])]
     pub keys: Vec<PathBuf>,
-    /// Members to ask at first, 64 at most.
+    /// Members to contact at the start, at most 64.
     #[toml_example(default = [])]
     pub seeds: Vec<SocketAddrV4>,
     /// Milliseconds between two probes, 200 to 60000.
     #[toml_example(default = 1000)]
     pub period_ms: u64,
-    /// This member's name, 32 bytes at most, unlike all others'; that of the configuration if left out.
+    /// This member's unique name, at most 32 bytes; the configuration's name if left out.
     #[toml_example(default = "n0")]
     pub name: Option<String>,
-    /// Threads, 1 to 8.
+    /// Worker threads, 1 to 8.
     #[toml_example(default = 2)]
     pub workers: usize,
-    /// What the files of `keys` hold.
+    /// The keys read from the files in `keys`.
     #[serde(skip)]
-    pub read: Vec<Key>,
+    pub loaded_keys: Vec<Key>,
 }
 
-impl Default for Fleet {
-    fn default() -> Fleet {
-        Fleet {
+impl Default for FleetConfig {
+    fn default() -> FleetConfig {
+        FleetConfig {
             listen: None,
             advertise: None,
             cluster: String::new(),
@@ -60,57 +61,65 @@
             period_ms: 1000,
             name: None,
             workers: 2,
-            read: Vec::new(),
+            loaded_keys: Vec::new(),
         }
     }
 }
 
-impl Fleet {
-    /// The keys of the table that have no default: the example names them as comments.
-    pub(super) const COMMENTED: [&'static str; 5] = ["listen", "advertise", "cluster", "keys", "name"];
+impl FleetConfig {
+    /// Keys of the table without a default: they are commented out in the example.
+    pub(super) const KEYS_WITHOUT_DEFAULT: [&'static str; 5] =
+        ["listen", "advertise", "cluster", "keys", "name"];
 
-    /// Checks it, and reads the keys where it is on.
+    /// Checks the table, and reads the key files if the fleet is on.
     pub(super) fn check(&mut self, text: &Text) -> Result<(), Fault> {
         let fault = |key: &str, why: String| Err(text.fault(&format!("fleet.{key}"), why));
-        if self.seeds.len() > SEEDS_LIMIT {
-            return fault("seeds", format!("{} are too many: {SEEDS_LIMIT} at most", self.seeds.len()));
+        if self.seeds.len() > MAX_SEEDS {
+            return fault("seeds", format!("{} seeds are too many: at most {MAX_SEEDS}", self.seeds.len()));
         }
-        if !PERIODS_MS.contains(&self.period_ms) {
-            return fault("period_ms", format!("must be {} to {}", PERIODS_MS.start(), PERIODS_MS.end()));
+        if !PERIOD_RANGE_MS.contains(&self.period_ms) {
+            return fault(
+                "period_ms",
+                format!("must be {} to {}", PERIOD_RANGE_MS.start(), PERIOD_RANGE_MS.end()),
+            );
         }
         if !(1..=WORKERS_LIMIT).contains(&self.workers) {
             return fault("workers", format!("must be 1 to {WORKERS_LIMIT}"));
         }
-        if let Some(why) = self.name.as_ref().and_then(|name| is_no_name(name)) {
+        if let Some(why) = self.name.as_ref().and_then(|name| invalid_name_reason(name)) {
             return fault("name", why);
         }
         let Some(listen) = self.listen else { return Ok(()) };
-        let reached = self.advertise.unwrap_or(listen);
-        if reached.ip().is_unspecified() || reached.ip().is_multicast() || reached.ip().is_broadcast() {
-            return fault("advertise", format!("nobody can reach {}", reached.ip()));
+        let advertised = self.advertise.unwrap_or(listen);
+        if advertised.ip().is_unspecified()
+            || advertised.ip().is_multicast()
+            || advertised.ip().is_broadcast()
+        {
+            return fault("advertise", format!("other members cannot reach {}", advertised.ip()));
         }
         if self.advertise.is_some_and(|advertise| advertise.port() == 0) {
-            return fault("advertise", "nobody can reach port 0".to_owned());
+            return fault("advertise", "other members cannot reach port 0".to_owned());
         }
         if self.cluster.is_empty() {
-            return fault("cluster", "is missing: a fleet has a name".to_owned());
+            return fault("cluster", "is missing: a fleet needs a name".to_owned());
         }
         if self.keys.is_empty() {
-            return fault("keys", "is missing: a fleet has a key".to_owned());
+            return fault("keys", "is missing: a fleet needs a key".to_owned());
         }
-        let read = |file: &PathBuf| read_key(file).map_err(|why| format!("{}: {why}", file.display()));
-        match self.keys.iter().map(read).collect() {
-            Ok(keys) => self.read = keys,
+        let load = |file: &PathBuf| read_key(file).map_err(|why| format!("{}: {why}", file.display()));
+        match self.keys.iter().map(load).collect() {
+            Ok(keys) => self.loaded_keys = keys,
             Err(why) => return fault("keys", why),
         }
         Ok(())
     }
 
-    /// The member's name: its own, or `name`, the configuration's. Fails where that is none for a member.
+    /// The member's name: the table's own, or else `name` from the configuration. Fails if that is
+    /// not valid for a member.
     pub fn name_or(&self, name: &str) -> Result<String, String> {
         match (&self.name, self.listen) {
             (Some(name), _) => Ok(name.clone()),
-            (None, Some(_)) => match is_no_name(name) {
+            (None, Some(_)) => match invalid_name_reason(name) {
                 None => Ok(name.to_owned()),
                 Some(why) => {
                     Err(format!("the operator's file: fleet.name: is missing, and {name:?} {why}"))
@@ -121,25 +130,25 @@
     }
 }
 
-fn is_no_name(name: &str) -> Option<String> {
-    let fits = (1..=NAME_LIMIT).contains(&name.len());
-    (!fits).then(|| format!("must have 1 to {NAME_LIMIT} bytes, and has {}", name.len()))
+fn invalid_name_reason(name: &str) -> Option<String> {
+    let is_valid = (1..=NAME_LIMIT).contains(&name.len());
+    (!is_valid).then(|| format!("must have 1 to {NAME_LIMIT} bytes, and has {}", name.len()))
 }
 
-/// What a file of a key holds, without the end of its line.
+/// Reads a key file, without its line terminator.
 fn read_key(file: &Path) -> Result<Key, String> {
     use std::io::Read;
     let mut bytes = Vec::new();
-    // Two bytes for the end of the line, and one to see that it is too long.
-    let most = *KEY_LENGTH.end() as u64 + 3;
-    let read = std::fs::File::open(file).and_then(|file| file.take(most).read_to_end(&mut bytes));
+    // Two bytes for the line terminator, and one to detect a key that is too long.
+    let read_limit = *KEY_LENGTH.end() as u64 + 3;
+    let read = std::fs::File::open(file).and_then(|file| file.take(read_limit).read_to_end(&mut bytes));
     read.map_err(|e| e.to_string())?;
     let line = bytes.strip_suffix(b"\n").map(|line| line.strip_suffix(b"\r").unwrap_or(line));
     Key::new(line.unwrap_or(&bytes))
-        .ok_or_else(|| format!("a key has {} to {} bytes", KEY_LENGTH.start(), KEY_LENGTH.end()))
+        .ok_or_else(|| format!("a key must have {} to {} bytes", KEY_LENGTH.start(), KEY_LENGTH.end()))
 }
 
-impl fmt::Display for Fleet {
+impl fmt::Display for FleetConfig {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Some(listen) = self.listen else { return write!(f, "fleet        off") };
         write!(f, "fleet        {}, listens on {listen}", self.cluster)?;
--- a/crates/program/src/operator/mod.rs
+++ b/crates/program/src/operator/mod.rs
@@ -1,9 +1,9 @@
-//! The operator's file: what the platform's configuration does not say. Everything here is off, or as it was
-//! without the file, unless the file says otherwise.
+//! The operator's file: what the platform's configuration does not set. Without the file every
+//! feature here is off or has its default.
 
 mod fleet;
 
-pub use fleet::Fleet;
+pub use fleet::FleetConfig;
 
 use cottonpoint_file::{Fault, Text};
 use serde::{Deserialize, Serialize};
@@ -14,43 +14,43 @@
 use toml_example::TomlExample;
 use tracing::level_filters::LevelFilter;
 
-/// The operator's file of cottonpoint. Every key may be left out; what stands here is what holds then.
+/// The operator's file of cottonpoint. Keys may be left out; the values shown are the defaults.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize, TomlExample)]
 #[serde(deny_unknown_fields, default)]
-pub struct Operator {
-    /// What is written to standard error.
+pub struct OperatorConfig {
+    /// Logging to standard error.
     #[toml_example(nesting)]
-    pub log: Log,
-    /// Figures for whoever watches the program.
+    pub log: LogConfig,
+    /// Metrics of the program.
     #[toml_example(nesting)]
-    pub metrics: Metrics,
-    /// Other sidecars.
+    pub metrics: MetricsConfig,
+    /// The fleet of sidecars.
     #[toml_example(nesting)]
-    pub fleet: Fleet,
+    pub fleet: FleetConfig,
 }
 
-/// There is no line per request.
+/// No line is written per request.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, TomlExample)]
 #[serde(deny_unknown_fields, default)]
-pub struct Log {
-    /// The form of a line: "text" or "json".
+pub struct LogConfig {
+    /// The format of a line: "text" or "json".
     #[toml_example(enum, default = "text")]
-    pub form: Form,
-    /// What is worth a line: "off", "error", "warn", "info", "debug" or "trace".
+    pub form: LogFormat,
+    /// The least severe level that is logged: "off", "error", "warn", "info", "debug" or "trace".
     #[toml_example(default = "info")]
     pub level: String,
-    /// Other levels for single modules, such as { cottonpoint_net = "debug" }.
+    /// Different levels for single modules, such as { cottonpoint_net = "debug" }.
     #[toml_example(default = {})]
     pub modules: BTreeMap<String, String>,
-    /// Warnings and errors of one place in the code that are written in a minute; what is left out is counted.
+    /// Maximum warnings and errors per minute from one place in the code; the rest is counted.
     #[toml_example(default = 20)]
     pub warnings_per_minute: u32,
 }
 
-impl Default for Log {
-    fn default() -> Log {
-        Log {
-            form: Form::Text,
+impl Default for LogConfig {
+    fn default() -> LogConfig {
+        LogConfig {
+            form: LogFormat::Text,
             level: "info".to_owned(),
             modules: BTreeMap::new(),
             warnings_per_minute: 20,
@@ -58,38 +58,38 @@
     }
 }
 
-/// The form of a log line.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Form {
-    /// A line to read.
+pub enum LogFormat {
+    /// Plain text.
     #[default]
     Text,
     /// A JSON object.
     Json,
 }
 
-/// They are in the OpenMetrics text format, counted since the start.
+/// The format is OpenMetrics text; counters start at zero with the process.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize, TomlExample)]
 #[serde(deny_unknown_fields, default)]
-pub struct Metrics {
-    /// Where `GET /metrics` is answered, such as "127.0.0.1:9100"; nowhere if left out.
+pub struct MetricsConfig {
+    /// The address that answers `GET /metrics`, such as "127.0.0.1:9100"; off if left out.
     #[toml_example(default = "127.0.0.1:9100")]
     pub listen: Option<SocketAddr>,
 }
 
-impl Operator {
+impl OperatorConfig {
     /// Reads and checks an operator's file.
-    pub fn load(path: &Path) -> Result<Operator, Fault> {
-        Operator::read(&Text::load(path)?)
+    pub fn load(path: &Path) -> Result<OperatorConfig, Fault> {
+        OperatorConfig::read(&Text::load(path)?)
     }
 
-    /// Reads and checks an operator's text.
-    pub fn read(text: &Text) -> Result<Operator, Fault> {
-        let mut operator: Operator = text.read()?;
+    /// Reads and checks the text of an operator's file.
+    pub fn read(text: &Text) -> Result<OperatorConfig, Fault> {
+        let mut operator: OperatorConfig = text.read()?;
         let level = |key: &str, level: &str| match level.parse::<LevelFilter>() {
             Ok(_) => Ok(()),
-            Err(_) => Err(text.fault(key, format!("{level:?} is no level"))),
+            Err(_) => Err(text.fault(key, format!("{level:?} is not a log level"))),
         };
         level("log.level", &operator.log.level)?;
         for (module, l) in &operator.log.modules {
@@ -97,24 +97,24 @@
         }
         if operator.log.warnings_per_minute == 0 {
             return Err(
-                text.fault("log.warnings_per_minute", "must be above 0; level = \"off\" silences all")
+                text.fault("log.warnings_per_minute", "must be above 0; level = \"off\" disables logging")
             );
         }
         operator.fleet.check(text)?;
         Ok(operator)
     }
 
-    /// A commented file with every key, as it holds when left out, made from the types. Keys that hold nothing
-    /// when left out, such as addresses, stand in it as comments.
+    /// A commented file with every key and its default, generated from the types. Keys without a
+    /// default, such as addresses, are commented out.
     pub fn example() -> String {
         let commented = |text: String, key| text.replace(&format!("\n{key} ="), &format!("\n# {key} ="));
-        Fleet::COMMENTED.into_iter().fold(Operator::toml_example(), commented)
+        FleetConfig::KEYS_WITHOUT_DEFAULT.into_iter().fold(OperatorConfig::toml_example(), commented)
     }
 }
 
-impl fmt::Display for Operator {
+impl fmt::Display for OperatorConfig {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let form = if self.log.form == Form::Json { "json" } else { "text" };
+        let form = if self.log.form == LogFormat::Json { "json" } else { "text" };
         write!(f, "log          {form}, {}", self.log.level)?;
         for (module, level) in &self.log.modules {
             write!(f, ", {module} {level}")?;
--- a/crates/program/src/serve.rs
+++ b/crates/program/src/serve.rs
@@ -1,10 +1,10 @@
-//! The sidecar as a program: its parts put together, from the first connection to the last.
+//! Runs the sidecar: connects its parts, and serves from the first connection to the last.
 
-use crate::config::{BadConfig, Config};
+use crate::config::{Config, ConfigError};
 use crate::console::Console;
 use crate::fleet::Membership;
-use crate::metrics::Watched;
-use crate::taken_out::TakenOut;
+use crate::metrics::MetricsServer;
+use crate::taken_out::DisabledEndpoints;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use cottonpoint_core::{Clock, Executor, Sidecar};
@@ -23,73 +23,81 @@
 use std::thread;
 use std::time::Duration;
 
-/// Beside a newer process, connections between requests are closed this long after the word to stop: what
-/// crosses that is sent again, to the newer one.
-const CLOSE_IDLE: Duration = Duration::from_millis(450);
-/// How often a process that gives its clients back looks for connections that stand idle.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+/// Beside a newer process, idle connections are closed this long after the stop event: a request
+/// that crosses the close is sent again by its client, to the newer process.
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(450);
+/// Interval at which a stopping process looks for idle connections to close.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Descriptors for all else, at most: three standard streams, three of the event loop, two for signals, the listeners
-/// of clients, console and metrics, discovery, a call for the metrics, the fleet's socket, two files: 16, rounded up
-/// to 24; and the console's callers.
+/// Descriptors for everything but client and endpoint connections, at most: three standard streams,
+/// three of the event loop, two for signals, the listeners of clients, console and metrics,
+/// discovery, a request for metrics, the fleet's socket, two files: 16, rounded up to 24; and the
+/// console's connections.
 const OWN_DESCRIPTORS: usize = 24 + cottonpoint_net::console::AT_ONCE;
 
-/// How often the file of endpoints out by hand is read again, for what a process beside this one wrote: well
-/// within the grace of a drain.
-const FOLLOW_EVERY: Duration = Duration::from_millis(200);
+/// Interval at which the file of disabled endpoints is checked for changes by a process beside this
+/// one: well within the grace of a drain. Announcing this process and looking for a newer one use
+/// it too.
+const STATE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a running sidecar is told from outside.
+/// A control event for a running sidecar.
 #[derive(Debug)]
-pub enum Word {
-    /// Answer what is taken, then end.
+pub enum ControlEvent {
+    /// Answer all accepted requests, then stop.
     Stop,
-    /// Go by another configuration from now on; a bad one changes nothing.
-    Reload(Result<Box<Config>, BadConfig>),
+    /// Apply another configuration; an invalid one changes nothing.
+    Reload(Result<Box<Config>, ConfigError>),
 }
 
-/// Serves until the word to stop (or the end of all words), then answers what was taken and returns. Metrics
-/// are served where a listener for them is given.
+/// Serves until the stop event (or the end of all events), then answers all accepted requests and
+/// returns. Metrics are served if a listener for them is given.
 pub fn run(
     config: Config,
     listener: TcpListener,
     metrics: Option<TcpListener>,
-    words: impl Stream<Item = Word> + Unpin + 'static,
+    control_events: impl Stream<Item = ControlEvent> + Unpin + 'static,
 ) -> io::Result<()> {
-    run_with(config, Listeners { clients: listener, metrics, console: None }, words)
+    run_with(config, Listeners { clients: listener, metrics, console: None }, control_events)
 }
 
-/// Where the sidecar listens: for clients, and where given for metrics and the console.
+/// The sidecar's listeners: for clients, and optionally for metrics and the console.
 #[derive(Debug)]
 pub struct Listeners {
     /// Clients.
     pub clients: TcpListener,
     /// `GET /metrics`.
     pub metrics: Option<TcpListener>,
-    /// The console's calls.
+    /// Console commands.
     pub console: Option<TcpListener>,
 }
 
-/// The same with all listeners.
+/// The same as [`run`], with all listeners.
 pub fn run_with(
     config: Config,
     listeners: Listeners,
-    words: impl Stream<Item = Word> + Unpin + 'static,
+    control_events: impl Stream<Item = ControlEvent> + Unpin + 'static,
 ) -> io::Result<()> {
-    run_in_fleet(config, listeners, None, words)
+    run_in_fleet(config, listeners, None, control_events)
 }
 
-/// The same as a member of a fleet, where one is given: it is left at the word to stop, and ends with the sidecar.
+/// The same as [`run_with`], as a member of a fleet, if one is given: it leaves the fleet at the
+/// stop event, and ends the membership with the sidecar.
 pub fn run_in_fleet(
     config: Config,
     listeners: Listeners,
     fleet: Option<Membership>,
-    words: impl Stream<Item = Word> + Unpin + 'static,
+    control_events: impl Stream<Item = ControlEvent> + Unpin + 'static,
 ) -> io::Result<()> {
     let executor: Executor = Rc::new(LocalExecutor::new());
     let fleet = fleet.map(Rc::new);
-    let served =
-        async_io::block_on(executor.run(serve(config, listeners, fleet.clone(), words, executor.clone())));
-    fleet.iter().for_each(|fleet| fleet.end());
+    let served = async_io::block_on(executor.run(serve(
+        config,
+        listeners,
+        fleet.clone(),
+        control_events,
+        executor.clone(),
+    )));
+    fleet.iter().for_each(|fleet| fleet.shut_down());
     served
 }
 
@@ -97,236 +105,255 @@
     config: Config,
     Listeners { clients: listener, metrics, console: console_listener }: Listeners,
     fleet: Option<Rc<Membership>>,
-    mut words: impl Stream<Item = Word> + Unpin + 'static,
+    mut control_events: impl Stream<Item = ControlEvent> + Unpin + 'static,
     executor: Executor,
 ) -> io::Result<()> {
     let platform = config.platform.clone();
     let names = Names { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
     let clock = Clock::start();
-    let (sidecar, asked) = Sidecar::new(platform.balancer.clone(), config.seed, clock, executor.clone());
+    let (sidecar, list_requests) =
+        Sidecar::new(platform.balancer.clone(), config.seed, clock, executor.clone());
     sidecar.set_drain_grace(platform.drain_grace);
-    let servers = Servers::new(terms(&config), executor.clone());
-    // The balancer comes to life with its first event: it is told of an empty list too.
+    let servers = Servers::new(pool_settings(&config), executor.clone());
+    // The balancer sets its first timer with its first event, so it is given an empty list too.
     let known = config.known.as_ref().and_then(|k| k.listed(&names).ok());
     let (kind, listed) = known.unwrap_or((ListKind::Full, Vec::new()));
     sidecar.listed(kind, &listed);
     let generation = config.known.as_ref().map(|k| k.generation);
-    let (moves, moved) = async_channel::unbounded();
+    let (address_updates, moved) = async_channel::unbounded();
     let watcher = Watcher {
         sidecar: sidecar.clone(),
         servers: servers.clone(),
-        discovery: place(&config),
+        discovery: discovery_address(&config),
         names,
         generation,
         moved,
         random: fastrand::Rng::with_seed(config.seed),
     };
-    executor.spawn(watcher.run(asked)).detach();
-    let clients =
-        Clients::new(sidecar.clone(), servers.clone(), platform, executor.clone(), bounds(&config).0);
+    executor.spawn(watcher.run(list_requests)).detach();
+    let clients = Clients::new(
+        sidecar.clone(),
+        servers.clone(),
+        platform,
+        executor.clone(),
+        connection_limits(&config).0,
+    );
     let accept = executor.spawn(clients.clone().accept(Async::new(listener)?));
-    let succession = config.state.as_deref().map(Succession::new);
-    if succession.as_ref().is_some_and(|succession| succession.beside_another()) {
-        // An upgrade: the older process has watched discovery all along, and its news holds for this one
-        // soon after this one is ready. The whole list is asked for at once, not at a spread-out time.
-        tracing::info!("started beside an older process: discovery is asked at once");
-        let _ = moves.try_send(place(&config));
+    let pid_file = config.state_dir.as_deref().map(PidFile::new);
+    if pid_file.as_ref().is_some_and(|pid_file| pid_file.is_another_running()) {
+        // An upgrade: the older process has watched discovery all along, and the changes sent to it
+        // count as known to this process soon after it is ready. So the whole list is requested at
+        // once, not at a spread-out time.
+        tracing::info!("an older process is running; requesting the endpoint list from discovery at once");
+        let _ = address_updates.try_send(discovery_address(&config));
     }
-    succession.iter().for_each(|succession| announce(succession.clone()));
+    pid_file.iter().for_each(|pid_file| announce(pid_file.clone()));
 
     let stopping = Rc::new(Cell::new(false));
-    let out = Rc::new(TakenOut::load(config.state.as_deref()));
+    let disabled = Rc::new(DisabledEndpoints::load(config.state_dir.as_deref()));
     let console = Rc::new(Console {
         sidecar: sidecar.clone(),
         clients: clients.clone(),
         classes: Rc::new(RefCell::new(config.platform.classes.clone())),
-        out,
+        disabled,
         stopping: stopping.clone(),
         fleet: fleet.clone(),
     });
-    console.restore();
-    let follower = Rc::downgrade(&console);
-    let _follow = executor.spawn(async move {
-        while let Some(console) = follower.upgrade() {
-            console.follow_file();
+    console.restore_disabled();
+    let weak_console = Rc::downgrade(&console);
+    let _file_task = executor.spawn(async move {
+        while let Some(console) = weak_console.upgrade() {
+            console.apply_file_changes();
             drop(console);
-            Timer::after(FOLLOW_EVERY).await;
+            Timer::after(STATE_CHECK_INTERVAL).await;
         }
     });
-    let _console = console_listener.map(|listener| {
+    let _console_task = console_listener.map(|listener| {
         let console = console.clone();
-        let answer: Rc<dyn Fn(Call) -> String> = Rc::new(move |call| console.answer(call));
+        let answer: Rc<dyn Fn(Call) -> String> = Rc::new(move |command| console.answer(command));
         executor.spawn(cottonpoint_net::console::serve(listener, executor.clone(), answer))
     });
-    let _join = fleet.clone().map(|fleet| executor.spawn(async move { fleet.wait_for_address().await }));
-    let counts = sidecar.clone();
+    let _fleet_task =
+        fleet.clone().map(|fleet| executor.spawn(async move { fleet.join_when_address_is_free().await }));
+    let core = sidecar.clone();
     let classes = console.classes.clone();
-    let watched =
-        Watched { sidecar, clients: clients.clone(), servers: servers.clone(), fleet: fleet.clone() };
-    let _metrics = metrics.map(|listener| executor.spawn(watched.serve(listener)));
+    let metrics_server =
+        MetricsServer { sidecar, clients: clients.clone(), servers: servers.clone(), fleet: fleet.clone() };
+    let _metrics_task = metrics.map(|listener| executor.spawn(metrics_server.serve(listener)));
 
-    let (stop, stopped) = async_channel::bounded::<()>(1);
-    let (mut current, bounded) = (config, clients.clone());
-    let heed = executor.spawn(async move {
-        while let Some(word) = words.next().await {
-            match word {
-                // Configurations are still heeded while what was taken is being answered.
-                Word::Stop => drop(stop.try_send(())),
-                Word::Reload(Ok(config)) => {
-                    counts.counts().configuration(true);
+    let (stop_sender, stop_receiver) = async_channel::bounded::<()>(1);
+    let (mut current, reconfigured_clients) = (config, clients.clone());
+    let control_task = executor.spawn(async move {
+        while let Some(event) = control_events.next().await {
+            match event {
+                // Configurations are still applied while accepted requests are being answered.
+                ControlEvent::Stop => drop(stop_sender.try_send(())),
+                ControlEvent::Reload(Ok(config)) => {
+                    core.counts().configuration(true);
                     if config.platform != current.platform {
-                        // Open flows keep the rules that they came in with; new ones take these.
-                        counts.retune(config.platform.balancer.clone());
-                        bounded.set_platform(config.platform.clone());
+                        // Open requests keep the settings that they arrived under; new ones use
+                        // these.
+                        core.retune(config.platform.balancer.clone());
+                        reconfigured_clients.set_platform(config.platform.clone());
                         *classes.borrow_mut() = config.platform.classes.clone();
                     }
-                    counts.set_drain_grace(config.platform.drain_grace);
-                    if place(&config) != place(&current) {
-                        let _ = moves.try_send(place(&config));
+                    core.set_drain_grace(config.platform.drain_grace);
+                    if discovery_address(&config) != discovery_address(&current) {
+                        let _ = address_updates.try_send(discovery_address(&config));
                     }
-                    bounded.set_bound(bounds(&config).0);
-                    servers.set_terms(terms(&config));
-                    tracing::info!("{}", current.change_to(*config));
+                    reconfigured_clients.set_bound(connection_limits(&config).0);
+                    servers.set_terms(pool_settings(&config));
+                    tracing::info!("{}", current.apply(*config));
                 }
-                Word::Reload(Err(fault)) => {
-                    counts.counts().configuration(false);
-                    tracing::error!(%fault, "the old configuration holds");
+                ControlEvent::Reload(Err(fault)) => {
+                    core.counts().configuration(false);
+                    tracing::error!(%fault, "invalid configuration ignored; the previous one stays in force");
                 }
             }
         }
-        drop(stop);
-        future::pending::<()>().await; // The watcher may be told of a move for as long as it lives.
+        drop(stop_sender);
+        future::pending::<()>().await; // Keeps the watcher's channel of addresses open.
     });
-    let _ = stopped.recv().await;
+    let _ = stop_receiver.recv().await;
     stopping.set(true);
-    fleet.iter().for_each(|fleet| fleet.tell(Command::Leave));
+    fleet.iter().for_each(|fleet| fleet.send_command(Command::Leave));
 
     let stop = clients.stop();
-    let followed = || succession.as_ref().is_some_and(|succession| succession.followed());
+    let is_superseded = || pid_file.as_ref().is_some_and(|pid_file| pid_file.is_superseded());
     let now = || clock.now();
-    // Nobody else may be there for this process's clients: it serves on for as long as it may.
-    while !followed() && !stop.is_over(now(), clients.open()) && now() < stop.gives_back_at() {
-        let look = stop.gives_back_at().min(now() + FOLLOW_EVERY);
-        one_closed_or(&clients, Timer::at(clock.instant(look))).await;
+    // There may be no other process for this one's clients: it keeps serving as long as it may.
+    while !is_superseded() && !stop.is_over(now(), clients.open()) && now() < stop.gives_back_at() {
+        let next_check = stop.gives_back_at().min(now() + STATE_CHECK_INTERVAL);
+        connection_closed_or(&clients, Timer::at(clock.instant(next_check))).await;
     }
     clients.leave();
-    if followed() {
-        // A newer process shares the clients' address: what comes goes there from now on.
-        tracing::info!("a newer process serves beside this one: it takes all new connections");
+    if is_superseded() {
+        // A newer process shares the clients' address: new connections go there from now on.
+        tracing::info!("a newer process is running; it takes all new connections");
         clients.last_call();
-        Timer::after(CLOSE_IDLE).await;
+        Timer::after(IDLE_CLOSE_DELAY).await;
     }
-    let nobody_is_left = async || {
+    let all_connections_closed = async || {
         while !stop.is_over(now(), clients.open()) {
             clients.close_idle();
-            one_closed_or(&clients, Timer::after(LOOK_AGAIN)).await;
+            connection_closed_or(&clients, Timer::after(IDLE_CHECK_INTERVAL)).await;
         }
     };
-    nobody_is_left().await;
-    // Who came in the very last moment stands in the listener's queue: closing it would reset what was sent.
+    all_connections_closed().await;
+    // Connections made at the last moment are still in the listener's queue: closing it would reset
+    // them and the requests sent on them.
     clients.last_call();
     accept.await;
-    nobody_is_left().await;
-    // Who was told yes for an endpoint out by hand may count on it at the next start. A disk that hangs is waited
-    // for until SIGKILL may come, and no longer.
-    let killed = Timer::at(clock.instant(stop.killed_at()));
-    future::or(console.out.kept(), async {
-        killed.await;
-        tracing::warn!("the disk hangs: endpoints out by hand may not be kept for the next start");
+    all_connections_closed().await;
+    // An acknowledged command to disable an endpoint has to hold after the next start. A hung disk
+    // is waited for until SIGKILL may come, and no longer.
+    let kill_timer = Timer::at(clock.instant(stop.killed_at()));
+    future::or(console.disabled.flush(), async {
+        kill_timer.await;
+        tracing::warn!(
+            "state file not written in time; disabled endpoints may be enabled after the next start"
+        );
     })
     .await;
-    drop(heed);
+    drop(control_task);
     Ok(())
 }
 
-/// Announces this process to the older one beside it, again until the disk takes it: on a thread of its own, since the
-/// disk may take seconds and clients come from the first moment. The thread ends then, or with the process.
-fn announce(succession: Succession) {
+/// Announces this process to the older one beside it, with retries until the write succeeds. This
+/// takes a thread of its own, since the disk may take seconds and clients connect from the first
+/// moment. The thread ends after that, or with the process.
+fn announce(pid_file: PidFile) {
     thread::spawn(move || {
-        while let Err(why) = succession.announce() {
-            tracing::warn!(%why, "a newer process beside the older one could not be announced yet");
-            thread::sleep(FOLLOW_EVERY);
+        while let Err(why) = pid_file.announce() {
+            tracing::warn!(%why, "cannot announce this process to the older one; retrying");
+            thread::sleep(STATE_CHECK_INTERVAL);
         }
     });
 }
 
-/// What the pool of connections to targets goes by.
-fn terms(config: &Config) -> Terms {
+/// The settings of the pool of connections to endpoints.
+fn pool_settings(config: &Config) -> Terms {
     let platform = &config.platform;
     Terms {
         connect_timeout: platform.connect_timeout,
-        // Well before the other side closes it under a request.
+        // Connections are closed well before the endpoint closes them, which could happen during a
+        // request.
         idle: platform.conn_idle.mul_f64(0.7),
-        connections: bounds(config).1,
+        connections: connection_limits(config).1,
         fields: platform.fields.clone(),
         field_names: platform.field_names.clone(),
     }
 }
 
-/// Connections to clients and to targets at most. The system may give fewer descriptors than the settings name: both
-/// get less then, so that clients who fill their places leave discovery, console and endpoints theirs.
-fn bounds(config: &Config) -> (usize, usize) {
+/// Maximum numbers of connections to clients and to endpoints. The system may allow fewer
+/// descriptors than the settings name: both maxima are lowered then, so that clients that use up
+/// theirs leave discovery, console and endpoints enough.
+fn connection_limits(config: &Config) -> (usize, usize) {
     let (clients, targets) = (config.client_connections, config.target_connections);
     let limits = std::fs::read_to_string("/proc/self/limits").unwrap_or_default();
-    let files = limits.lines().find_map(|l| l.strip_prefix("Max open files")?.split_whitespace().next());
-    let Some(files) = files.and_then(|files| files.parse::<usize>().ok()) else {
+    let open_files_limit =
+        limits.lines().find_map(|l| l.strip_prefix("Max open files")?.split_whitespace().next());
+    let Some(open_files_limit) =
+        open_files_limit.and_then(|open_files_limit| open_files_limit.parse::<usize>().ok())
+    else {
         return (clients, targets);
     };
-    let left = files.saturating_sub(OWN_DESCRIPTORS).clamp(2, clients + targets);
-    let clients = (clients * left / (clients + targets)).max(1);
-    (clients, left - clients)
+    let available = open_files_limit.saturating_sub(OWN_DESCRIPTORS).clamp(2, clients + targets);
+    let clients = (clients * available / (clients + targets)).max(1);
+    (clients, available - clients)
 }
 
-/// Where discovery is, by that configuration.
-fn place(config: &Config) -> Place {
+/// The address of discovery in a configuration, and whether it pushes lists.
+fn discovery_address(config: &Config) -> Place {
     Place { address: config.discovery, pushed: config.platform.balancer.discovery == Discovery::Pushed }
 }
 
-/// Waits until a connection has closed, or for the timer.
-async fn one_closed_or(clients: &Clients, timer: Timer) {
+/// Waits until a client connection has closed, or for the timer.
+async fn connection_closed_or(clients: &Clients, timer: Timer) {
     future::or(clients.one_closed(), async {
         timer.await;
     })
     .await;
 }
 
-/// Processes of the sidecar that follow one another on the same clients' address, as the state directory
-/// tells: each announces itself once it listens, so that an older one, told to stop, knows that a newer one
-/// takes the clients (an upgrade) rather than nobody (a restart).
+/// Lets processes of the sidecar that follow one another on the same clients' address know of each
+/// other, by a file in the state directory: each announces itself once it listens, so that an older
+/// one, when it has to stop, knows whether a newer one takes its clients (an upgrade) or none does
+/// (a restart).
 #[derive(Clone, Debug)]
-pub struct Succession {
+pub struct PidFile {
     file: std::path::PathBuf,
-    /// What the file said when this process started.
-    before: Option<String>,
+    /// The content of the file when this process started.
+    initial_content: Option<String>,
 }
 
-impl Succession {
-    /// The file that names the newest process.
-    pub const FILE: &'static str = "cottonpoint-newest.pid";
+impl PidFile {
+    /// The name of the file that holds the process ID of the newest process.
+    pub const FILE_NAME: &'static str = "cottonpoint-newest.pid";
 
-    /// Announcements in that directory.
-    pub fn new(state: &std::path::Path) -> Succession {
-        let file = state.join(Self::FILE);
-        let before = std::fs::read_to_string(&file).ok();
-        Succession { file, before }
+    /// Uses the file in the state directory `state_dir`.
+    pub fn new(state_dir: &std::path::Path) -> PidFile {
+        let file = state_dir.join(Self::FILE_NAME);
+        let initial_content = std::fs::read_to_string(&file).ok();
+        PidFile { file, initial_content }
     }
 
-    /// This process is the newest from now on, unless another one has announced itself since this one started: the disk may
-    /// take its time.
+    /// Makes this process the newest one, unless another one has announced itself since this one
+    /// started: the write may be delayed by a slow disk.
     pub fn announce(&self) -> io::Result<()> {
-        let unchanged = || std::fs::read_to_string(&self.file).ok() == self.before;
-        crate::state::write_whole_if(&self.file, &std::process::id().to_string(), unchanged).map(drop)
+        let unchanged = || std::fs::read_to_string(&self.file).ok() == self.initial_content;
+        crate::state::write_atomically_if(&self.file, &std::process::id().to_string(), unchanged).map(drop)
     }
 
     /// Whether another process of the sidecar has announced itself and still runs.
-    pub fn beside_another(&self) -> bool {
+    pub fn is_another_running(&self) -> bool {
         let newest = std::fs::read_to_string(&self.file).ok();
         let pid = newest.and_then(|pid| pid.trim().parse::<u32>().ok());
         pid.is_some_and(|pid| pid != std::process::id() && Path::new(&format!("/proc/{pid}")).exists())
     }
 
-    /// Whether a newer process has announced itself since.
-    pub fn followed(&self) -> bool {
+    /// Whether a newer process has announced itself.
+    pub fn is_superseded(&self) -> bool {
         let newest = std::fs::read_to_string(&self.file).ok();
         newest.and_then(|pid| pid.trim().parse::<u32>().ok()).is_some_and(|pid| pid != std::process::id())
     }
--- a/crates/program/src/state.rs
+++ b/crates/program/src/state.rs
@@ -1,4 +1,4 @@
-//! What outlives a process of the sidecar, in the state directory (`$TMPDIR`).
+//! Files in the state directory (`$TMPDIR`), which outlive a process of the sidecar.
 
 use async_channel::{Receiver, Sender};
 use std::cell::Cell;
@@ -8,112 +8,130 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// What could not be written is written again after this pause, doubled up to the longest: a full or failing disk may
-/// recover, and what was taken on is still owed.
-const AGAIN_FIRST: Duration = Duration::from_millis(50);
-const AGAIN_MOST: Duration = Duration::from_millis(500);
+/// Backoff between attempts to write a file, doubled after each failure up to the maximum: a full
+/// or failing disk may recover, and an acknowledged change must still be stored.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Writes a file whole to a name beside it, syncs it, then puts it in place: a reader sees the old text or the new, also
-/// after a kill in the middle.
-pub fn write_whole(file: &Path, text: &str) -> io::Result<()> {
-    write_whole_if(file, text, || true).map(drop)
+/// Replaces a file atomically: writes and syncs a temporary file beside it, then renames that. A
+/// reader sees the old text or the new one, also if the process is killed in between.
+pub fn write_atomically(file: &Path, text: &str) -> io::Result<()> {
+    write_atomically_if(file, text, || true).map(drop)
 }
 
-/// The same, put in place only if that still holds right before; whether it was.
-pub fn write_whole_if(file: &Path, text: &str, still: impl FnOnce() -> bool) -> io::Result<bool> {
-    let beside = beside(file);
-    let written = std::fs::File::create(&beside).and_then(|mut new| {
+/// The same, but the file is replaced only if `is_current` returns true right before. Returns
+/// whether it was replaced.
+pub fn write_atomically_if(file: &Path, text: &str, is_current: impl FnOnce() -> bool) -> io::Result<bool> {
+    let temporary = temporary_path(file);
+    let result = std::fs::File::create(&temporary).and_then(|mut new| {
         new.write_all(text.as_bytes())?;
         new.sync_all()
     });
-    if let Err(why) = written {
-        // A half-written one would only take room.
-        let _ = std::fs::remove_file(&beside);
+    if let Err(why) = result {
+        // An incomplete file would only use disk space.
+        let _ = std::fs::remove_file(&temporary);
         return Err(why);
     }
-    if !still() {
-        let _ = std::fs::remove_file(&beside);
+    if !is_current() {
+        let _ = std::fs::remove_file(&temporary);
         return Ok(false);
     }
-    std::fs::rename(&beside, file).map(|()| true)
+    std::fs::rename(&temporary, file).map(|()| true)
 }
 
-fn beside(file: &Path) -> PathBuf {
+fn temporary_path(file: &Path) -> PathBuf {
     file.with_extension(format!("{}.new", std::process::id()))
 }
 
-/// A text to write, and its number.
-type Text = (u64, String);
+/// The number of a text to write, and the text.
+type NumberedText = (u64, String);
 
-/// Writes one file whole, time and again, on a thread of its own: to put a file in another's place can take the
-/// disk a second, and the one thread that serves clients must not wait for it. Of texts that wait only the newest
-/// is written. Dropped, it waits for nothing: the thread ends once all is written, or with the process.
-pub struct Writer {
+/// Writes one file atomically and repeatedly, on a thread of its own: replacing a file can take the
+/// disk a second, and the single thread that serves clients must not wait for it. Of the pending
+/// texts only the newest is written. Dropping the writer does not block: the thread ends once all
+/// is written, or with the process.
+pub struct FileWriter {
     file: PathBuf,
-    texts: Sender<Text>,
-    waiting: Receiver<Text>,
-    /// Whether the thread runs, as it does from the first text on.
-    runs: Cell<bool>,
+    queue: Sender<NumberedText>,
+    pending: Receiver<NumberedText>,
+    /// Whether the thread has been started, which happens with the first text.
+    thread_started: Cell<bool>,
     /// The number of the newest text, and of the newest one written.
-    newest: Cell<u64>,
-    written: Arc<AtomicU64>,
-    /// The thread's word that it has written one more.
-    one_more: (Sender<()>, Receiver<()>),
+    newest_number: Cell<u64>,
+    written_number: Arc<AtomicU64>,
+    /// Notified by the thread after each write.
+    write_notification: (Sender<()>, Receiver<()>),
 }
 
-impl Writer {
-    /// Nothing is written yet.
-    pub fn new(file: PathBuf) -> Writer {
-        let (texts, waiting) = async_channel::bounded(1);
-        let (runs, newest, written) = Default::default();
-        Writer { file, texts, waiting, runs, newest, written, one_more: async_channel::bounded(1) }
+impl FileWriter {
+    /// A writer of `file`; nothing is written until there is a text.
+    pub fn new(file: PathBuf) -> FileWriter {
+        let (queue, pending) = async_channel::bounded(1);
+        let (thread_started, newest_number, written_number) = Default::default();
+        FileWriter {
+            file,
+            queue,
+            pending,
+            thread_started,
+            newest_number,
+            written_number,
+            write_notification: async_channel::bounded(1),
+        }
     }
 
-    /// The file.
+    /// The path of the file.
     pub fn file(&self) -> &Path {
         &self.file
     }
 
-    /// Has the text written soon; what cannot be written is logged, and written again until it can or a newer text comes.
+    /// Queues the text for writing. A failed write is logged and retried until it succeeds or a
+    /// newer text arrives.
     pub fn write(&self, text: String) {
-        let number = self.newest.get() + 1;
-        self.newest.set(number);
-        let _ = self.texts.force_send((number, text));
-        if self.runs.replace(true) {
+        let number = self.newest_number.get() + 1;
+        self.newest_number.set(number);
+        let _ = self.queue.force_send((number, text));
+        if self.thread_started.replace(true) {
             return;
         }
-        let (file, texts, written) = (self.file.clone(), self.waiting.clone(), self.written.clone());
-        let one_more = self.one_more.0.clone();
+        let (file, pending, written_number) =
+            (self.file.clone(), self.pending.clone(), self.written_number.clone());
+        let write_notification = self.write_notification.0.clone();
         std::thread::spawn(move || {
-            while let Ok(text) = texts.recv_blocking() {
-                let number = write_until_written(&file, text, &texts);
-                written.store(number, Ordering::Release);
-                let _ = one_more.try_send(());
+            while let Ok(text) = pending.recv_blocking() {
+                let number = write_with_retries(&file, text, &pending);
+                written_number.store(number, Ordering::Release);
+                let _ = write_notification.try_send(());
             }
         });
     }
 
-    /// Whether a text is on its way: what the file holds until then is older than what this process knows.
-    pub fn is_behind(&self) -> bool {
-        self.written.load(Ordering::Acquire) != self.newest.get()
+    /// Whether a text is not written yet: until it is, the file is older than what this process
+    /// knows.
+    pub fn has_unwritten_text(&self) -> bool {
+        self.written_number.load(Ordering::Acquire) != self.newest_number.get()
     }
 
-    /// Waits until no text is on its way. A disk that hangs makes it wait for ever: the caller bounds it.
-    pub async fn caught_up(&self) {
-        while self.is_behind() {
-            let _ = self.one_more.1.recv().await;
+    /// Waits until all texts are written. A hung disk blocks it indefinitely: the caller limits the
+    /// time.
+    pub async fn flush(&self) {
+        while self.has_unwritten_text() {
+            let _ = self.write_notification.1.recv().await;
         }
     }
 }
 
-/// Writes a text, or a newer one that comes meanwhile, until it is written; its number. Ends without once nobody is left
-/// to write for.
-fn write_until_written(file: &Path, (mut number, mut text): Text, newer: &Receiver<Text>) -> u64 {
-    let mut pause = AGAIN_FIRST;
-    while let Err(why) = write_whole(file, &text) {
-        tracing::warn!(file = %file.display(), %why, ?pause, "not kept for the next start yet");
-        std::thread::sleep(pause);
-        pause = (pause * 2).min(AGAIN_MOST);
+/// Writes a text, or a newer one that arrives meanwhile, until a write succeeds, and returns the
+/// number of the text. After a failure it gives up if the writer has been dropped.
+fn write_with_retries(
+    file: &Path,
+    (mut number, mut text): NumberedText,
+    newer: &Receiver<NumberedText>,
+) -> u64 {
+    let mut backoff = MIN_BACKOFF;
+    while let Err(why) = write_atomically(file, &text) {
+        tracing::warn!(file = %file.display(), %why, pause = ?backoff, "cannot write the state file; retrying");
+        std::thread::sleep(backoff);
+        backoff = (backoff * 2).min(MAX_BACKOFF);
         if let Ok((newer_number, newer_text)) = newer.try_recv() {
             (number, text) = (newer_number, newer_text);
         } else if newer.is_closed() {
@@ -123,9 +141,9 @@
     number
 }
 
-impl Drop for Writer {
+impl Drop for FileWriter {
     fn drop(&mut self) {
-        self.texts.close();
+        self.queue.close();
     }
 }
 
@@ -133,46 +151,49 @@
 mod tests {
     use super::*;
 
-    /// Guards against: the thread that serves clients standing still while the disk takes its time, an older text
-    /// taken for what this process knows, and the newest text lost. The disk is a pipe that nobody reads at first.
+    /// Guards against a slow disk that blocks the thread that serves clients, an older text taken
+    /// for what this process knows, and the loss of the newest text. The disk is a pipe without a
+    /// reader at first.
     #[test]
-    fn a_slow_disk_holds_up_nobody_and_the_newest_text_is_kept() {
+    fn slow_disk_blocks_nobody_and_newest_text_is_written() {
         let dir = tempfile::tempdir().expect("a directory");
         let file = dir.path().join("kept.json");
-        let pipe = beside(&file);
+        let pipe = temporary_path(&file);
         let made = std::process::Command::new("mkfifo").arg(&pipe).status().expect("mkfifo runs");
         assert!(made.success());
-        let writer = Writer::new(file.clone());
-        assert!(!writer.is_behind());
+        let writer = FileWriter::new(file.clone());
+        assert!(!writer.has_unwritten_text());
         for text in ["first", "second", "third"] {
             writer.write(text.to_owned());
-            assert!(writer.is_behind());
+            assert!(writer.has_unwritten_text());
         }
-        // The disk comes round: whatever was being written goes through the pipe, and the rest to plain files.
+        // The disk recovers: the write in progress goes through the pipe, later ones to regular
+        // files.
         let read = std::fs::read_to_string(&pipe).expect("a text");
-        async_io::block_on(writer.caught_up());
+        async_io::block_on(writer.flush());
         let last = if read == "third" { read } else { std::fs::read_to_string(&file).expect("a file") };
         assert_eq!(last, "third");
     }
 
-    /// Guards against: what the console said yes to forgotten where the disk fails for a while, and told as kept meanwhile.
-    /// The disk is a folder that is not there at first.
+    /// Guards against changes that the console acknowledged and that are lost when the disk fails
+    /// for a while, or reported as stored meanwhile. The disk is a directory that does not exist at
+    /// first.
     #[test]
-    fn a_disk_that_fails_is_written_to_again_until_it_takes_the_newest_text() {
+    fn failed_write_is_retried_until_newest_text_is_written() {
         let dir = tempfile::tempdir().expect("a directory");
-        let folder = dir.path().join("later");
-        let writer = Writer::new(folder.join("kept.json"));
+        let directory = dir.path().join("later");
+        let writer = FileWriter::new(directory.join("kept.json"));
         writer.write("first".to_owned());
-        std::thread::sleep(AGAIN_FIRST * 2);
+        std::thread::sleep(MIN_BACKOFF * 2);
         writer.write("second".to_owned());
-        assert!(writer.is_behind());
-        std::fs::create_dir(&folder).expect("a folder");
-        async_io::block_on(writer.caught_up());
+        assert!(writer.has_unwritten_text());
+        std::fs::create_dir(&directory).expect("a folder");
+        async_io::block_on(writer.flush());
         assert_eq!(std::fs::read_to_string(writer.file()).expect("a file"), "second");
         assert_eq!(
-            std::fs::read_dir(&folder).expect("a folder").count(),
+            std::fs::read_dir(&directory).expect("a folder").count(),
             1,
-            "nothing half-written is left"
+            "no temporary file is left"
         );
     }
 }
--- a/crates/program/src/taken_out.rs
+++ b/crates/program/src/taken_out.rs
@@ -1,6 +1,7 @@
-//! Endpoints taken out by hand, kept in a file under `$TMPDIR`, so that a new process of the sidecar keeps them out.
+//! Endpoints disabled by the operator, stored in a file under `$TMPDIR` so that a new process of
+//! the sidecar keeps them disabled.
 
-use crate::state::Writer;
+use crate::state::FileWriter;
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -8,12 +9,12 @@
 use std::path::Path;
 use std::time::SystemTime;
 
-/// The file, under the state directory, that names the endpoints taken out by hand.
-pub const OUT_FILE: &str = "cottonpoint-out.json";
-/// Endpoints kept out at most: a call past that is refused, not forgotten.
-pub const OUT_LIMIT: usize = 4096;
+/// The file in the state directory that names the disabled endpoints.
+pub const DISABLED_FILE: &str = "cottonpoint-out.json";
+/// Maximum number of disabled endpoints: a command beyond it is refused, not forgotten.
+pub const DISABLED_LIMIT: usize = 4096;
 
-/// Tells one version of the file from another: each is a file of its own, put in the place of the one before.
+/// Identifies a version of the file: each one is a separate file, renamed over the one before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileVersion {
     inode: u64,
@@ -29,77 +30,78 @@
     }
 }
 
-/// The endpoints taken out by hand, by name, and where they are kept.
-pub struct TakenOut {
+/// The names of the endpoints disabled by the operator, and where they are stored.
+pub struct DisabledEndpoints {
     names: RefCell<BTreeSet<String>>,
-    file: Option<Writer>,
-    /// Which file was last read whole. Its time alone may be that of another one: the wall clock may be stepped.
-    seen: Cell<Option<FileVersion>>,
+    file: Option<FileWriter>,
+    /// The version that was last read completely. Its time alone does not identify it, because the
+    /// wall clock may be stepped.
+    last_read: Cell<Option<FileVersion>>,
 }
 
-impl TakenOut {
-    /// Those that the file names, if there is a state directory and a readable file in it.
-    pub fn load(state: Option<&Path>) -> TakenOut {
-        let file = state.map(|dir| Writer::new(dir.join(OUT_FILE)));
+impl DisabledEndpoints {
+    /// Reads the names, if there is a state directory and a readable file in it.
+    pub fn load(state: Option<&Path>) -> DisabledEndpoints {
+        let file = state.map(|dir| FileWriter::new(dir.join(DISABLED_FILE)));
         let text = file.as_ref().and_then(|f| std::fs::read_to_string(f.file()).ok());
         let names = text.map(|text| serde_json::from_str::<BTreeSet<String>>(&text)).transpose();
         let names = names.unwrap_or_else(|why| {
-            tracing::error!(file = OUT_FILE, %why, "endpoints out by hand cannot be read: none is taken out");
+            tracing::error!(file = DISABLED_FILE, %why, "cannot read the disabled endpoints; none is disabled");
             None
         });
         let names = names.unwrap_or_default();
-        TakenOut { names: names.into(), file, seen: Cell::new(None) }
+        DisabledEndpoints { names: names.into(), file, last_read: Cell::new(None) }
     }
 
-    /// What the file says now, where another process of the sidecar (an older or newer version beside this
-    /// one) has changed it: the names to take out and to put back. `None` if it is as last seen.
-    pub fn changed(&self) -> Option<(Vec<String>, Vec<String>)> {
+    /// The changes that another process of the sidecar (an older or newer version beside this one)
+    /// has made to the file: the names to disable and to enable. `None` if there are none.
+    pub fn read_changes(&self) -> Option<(Vec<String>, Vec<String>)> {
         let writer = self.file.as_ref()?;
-        if writer.is_behind() {
-            return None; // What it says is older than what the console was told here.
+        if writer.has_unwritten_text() {
+            return None; // The file is older than the commands that this process's console took.
         }
-        // Read again only when written since: this is asked five times a second.
+        // The file is read only if it was replaced since: this is called five times a second.
         let version = FileVersion::of(writer.file());
-        if version.is_some() && self.seen.get() == version {
+        if version.is_some() && self.last_read.get() == version {
             return None;
         }
         let text = std::fs::read_to_string(writer.file()).ok()?;
         let names: BTreeSet<String> = serde_json::from_str(&text).ok()?;
-        self.seen.set(version);
-        let mut held = self.names.borrow_mut();
-        if *held == names {
+        self.last_read.set(version);
+        let mut current = self.names.borrow_mut();
+        if *current == names {
             return None;
         }
-        let taken_out = names.difference(&held).cloned().collect();
-        let put_back = held.difference(&names).cloned().collect();
-        *held = names;
-        Some((taken_out, put_back))
+        let disabled = names.difference(&current).cloned().collect();
+        let enabled = current.difference(&names).cloned().collect();
+        *current = names;
+        Some((disabled, enabled))
     }
 
-    /// The names, in order.
+    /// The names, in ascending order.
     pub fn names(&self) -> Vec<String> {
         self.names.borrow().iter().cloned().collect()
     }
 
-    /// Whether no more endpoints may be taken out.
+    /// Whether no more endpoints can be disabled.
     pub fn is_full(&self) -> bool {
-        self.names.borrow().len() >= OUT_LIMIT
+        self.names.borrow().len() >= DISABLED_LIMIT
     }
 
-    /// Takes an endpoint out, or puts it back, and has that kept soon.
-    pub fn set(&self, name: &str, out: bool) {
+    /// Disables or enables an endpoint, and queues the change for writing.
+    pub fn set(&self, name: &str, disable: bool) {
         let mut names = self.names.borrow_mut();
-        let changed = if out { names.insert(name.to_owned()) } else { names.remove(name) };
-        if let Some(file) = self.file.as_ref().filter(|_| changed) {
+        let is_change = if disable { names.insert(name.to_owned()) } else { names.remove(name) };
+        if let Some(file) = self.file.as_ref().filter(|_| is_change) {
             file.write(json!(*names).to_string());
         }
     }
 
-    /// Waits until the file holds what the console was told. A disk that hangs makes it wait for ever: the caller
-    /// bounds it.
-    pub async fn kept(&self) {
+    /// Waits until all changes are written. A hung disk blocks it indefinitely: the caller limits
+    /// the time.
+    pub async fn flush(&self) {
         if let Some(file) = &self.file {
-            file.caught_up().await;
+            file.flush().await;
         }
     }
 }
--- a/crates/program/tests/config.rs
+++ b/crates/program/tests/config.rs
@@ -96,7 +96,7 @@
     assert_snapshot!(said, @r#"
     configuration: (whole): invalid type: string "name", expected an object (line 1, column 6)
     configuration: name: invalid type: integer `7`, expected a string (line 1, column 9)
-    configuration: listen: is missing, and so is NODE_LISTEN
+    configuration: listen: is missing, and NODE_LISTEN is not set
     configuration: listen: must be an address and port: localhost
     configuration: discovery: invalid type: integer `8500`, expected a string (line 1, column 52)
     configuration: seed: must be hexadecimal: z (line 1, column 75)
@@ -115,7 +115,7 @@
     configuration: (whole): trailing characters at line 11 column 61
     configuration: settings.lanes: must not be empty
     configuration: settings.lanes.0.name: must not be empty
-    configuration: settings.lanes.1.name: is that of settings.lanes.0 too: look
+    configuration: settings.lanes.1.name: duplicates the name of settings.lanes.0: look
     configuration: settings.lanes.0.aim_ns: must be above 0 (line 6, column 26)
     configuration: settings.lanes.0.aim_stretch: must be 0 or above, and finite (line 6, column 52)
     configuration: settings.lanes.0.worth: must be 0 or above, and finite (line 6, column 70)
@@ -125,7 +125,7 @@
     configuration: settings.lanes.1.group: unknown variant `rack`, expected one of `all`, `zone`, `cell`
     configuration: settings.lanes.1.window_ns: must be above 0
     configuration: settings.orgs.0.name: must not be empty
-    configuration: settings.orgs.1.name: is that of settings.orgs.0 too: north
+    configuration: settings.orgs.1.name: duplicates the name of settings.orgs.0: north
     configuration: settings.orgs: the shares add up to 1.100, not 1
     configuration: settings.orgs: the shares add up to 0.900, not 1
     configuration: settings.orgs.0.share: must lie between 0 and 1 (line 7, column 114)
@@ -189,7 +189,10 @@
             assert_eq!(String::from_utf8_lossy(&refused.stderr), format!("cottonpoint: {fault}\n"));
         }
         kill_process(Pid::from_child(&sidecar.0), Signal::HUP).unwrap();
-        assert_eq!(told("the old configuration holds")["fault"], fault.as_str());
+        assert_eq!(
+            told("invalid configuration ignored; the previous one stays in force")["fault"],
+            fault.as_str()
+        );
         peers::send(&mut client, peers::LOOK);
         assert!(peers::message(&mut client).starts_with("HTTP/1.1 200"), "{what}");
         assert!(seen.recv().unwrap().starts_with("GET /look"), "{what}");
--- a/crates/program/tests/operator.rs
+++ b/crates/program/tests/operator.rs
@@ -6,8 +6,8 @@
 mod peers;
 
 use cottonpoint::config::Config;
-use cottonpoint::operator::Operator;
-use cottonpoint::serve::{self, Word};
+use cottonpoint::operator::OperatorConfig;
+use cottonpoint::serve::{self, ControlEvent};
 use cottonpoint_file::Text;
 use cottonpoint_mesh::seal::Key;
 use insta::assert_snapshot;
@@ -17,21 +17,21 @@
 /// Guards against: an example that says what does not hold, or that the program would not take.
 #[test]
 fn the_example_and_the_shipped_file_are_what_holds_without_one() {
-    let example = Operator::example();
-    assert_eq!(Operator::read(&Text::new("example", &example)), Ok(Operator::default()));
+    let example = OperatorConfig::example();
+    assert_eq!(OperatorConfig::read(&Text::new("example", &example)), Ok(OperatorConfig::default()));
     let shipped = include_str!("../../../deploy/cottonpoint.toml");
     assert_eq!(shipped, example, "print it anew with: cottonpoint config example");
     // The keys that the example only names as comments are some; only that the key's file is not there.
     let key = |l: &str| l.split(' ').nth(1) == Some("=");
     let named = example.lines().map(|l| l.strip_prefix("# ").filter(|l| key(l)).unwrap_or(l));
     let named = named.collect::<Vec<_>>().join("\n");
-    let fault = Operator::read(&Text::new("example", &named)).expect_err("no such file").to_string();
+    let fault = OperatorConfig::read(&Text::new("example", &named)).expect_err("no such file").to_string();
     assert!(
         fault.starts_with("example:") && fault.contains("fleet.keys: fleet.key: No such file"),
         "{fault}"
     );
     let without = named.replace("keys = [\"fleet.key\"]", "").replace("listen = \"10", "# listen = \"10");
-    let read = Operator::read(&Text::new("example", &without)).expect("good");
+    let read = OperatorConfig::read(&Text::new("example", &without)).expect("good");
     assert_eq!(read.metrics.listen, "127.0.0.1:9100".parse().ok());
     assert_eq!((read.fleet.name.as_deref(), read.fleet.cluster.as_str()), (Some("n0"), "archive"));
 }
@@ -63,7 +63,7 @@
         "[fleet]\nname = \"a-name-of-more-than-thirty-two-bytes\"",
         "[fleet]\nkey = \"secret\"",
     ] {
-        let fault = Operator::read(&Text::new("cottonpoint.toml", text)).expect_err(text).to_string();
+        let fault = OperatorConfig::read(&Text::new("cottonpoint.toml", text)).expect_err(text).to_string();
         assert_eq!(fault.lines().count(), 1);
         said += &format!("{fault}\n");
     }
@@ -79,8 +79,8 @@
     let text = format!(
         "[fleet]\nlisten = \"10.0.0.7:7946\"\ncluster = \"archive\"\nkeys = [{key:?}]\nseeds = [\"10.0.0.8:7946\"]"
     );
-    let operator = Operator::read(&Text::new("cottonpoint.toml", &text)).expect("good");
-    assert_eq!(Some(&operator.fleet.read[0]), Key::new(b"0123456789abcdef").as_ref());
+    let operator = OperatorConfig::read(&Text::new("cottonpoint.toml", &text)).expect("good");
+    assert_eq!(Some(&operator.fleet.loaded_keys[0]), Key::new(b"0123456789abcdef").as_ref());
     assert_snapshot!(operator.to_string(), @r"
     log          text, info
     metrics      off
@@ -128,6 +128,6 @@
     let lease: Vec<(&str, f64)> = lease.map(|(name, s)| (name, s.parse().expect("a number"))).collect();
     assert!(matches!(lease[..], [("cottonpoint_list_lease_seconds", 5.0..=6.3)]), "{lease:?}");
     assert!(ask(metrics, "GET / HTTP/1.1\nHost: n0\n\n").starts_with("HTTP/1.1 404"));
-    words.try_send(Word::Stop).expect("it listens");
+    words.try_send(ControlEvent::Stop).expect("it listens");
     sidecar.join().expect("it ends without a panic");
 }
--- a/crates/program/tests/sidecar/life.rs
+++ b/crates/program/tests/sidecar/life.rs
@@ -2,7 +2,7 @@
 
 use crate::peers::*;
 use crate::program::make_pipe;
-use cottonpoint::serve::Succession;
+use cottonpoint::serve::PidFile;
 use insta::assert_snapshot;
 use std::path::Path;
 
@@ -48,7 +48,7 @@
 #[test]
 fn a_disk_that_hangs_at_the_start_holds_up_no_client() {
     let state = tempfile::tempdir().expect("a directory");
-    let announcement = Path::new(Succession::FILE).with_extension(format!("{}.new", std::process::id()));
+    let announcement = Path::new(PidFile::FILE_NAME).with_extension(format!("{}.new", std::process::id()));
     make_pipe(&state.path().join(announcement));
     let (target, discovery) = (Peer::new(), Peer::new());
     let known = list(1, true, &[line("t0", target.address, "active")]);
--- a/crates/program/tests/sidecar/peers.rs
+++ b/crates/program/tests/sidecar/peers.rs
@@ -1,7 +1,7 @@
 //! Scripted peers on loopback: a sidecar in a thread of its own, clients, targets and discovery.
 
 use cottonpoint::config::Config;
-use cottonpoint::serve::{self, Word};
+use cottonpoint::serve::{self, ControlEvent};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -173,7 +173,7 @@
 /// A sidecar that serves.
 pub struct Running {
     pub address: SocketAddr,
-    words: async_channel::Sender<Word>,
+    words: async_channel::Sender<ControlEvent>,
     thread: JoinHandle<()>,
 }
 
@@ -217,13 +217,13 @@
     }
 
     pub fn stop(&self) {
-        let _ = self.words.try_send(Word::Stop);
+        let _ = self.words.try_send(ControlEvent::Stop);
     }
 
     /// Gives it another configuration, as a file might hold it.
     pub fn reload(&self, config: &str) {
         let config = Config::parse(config, |_| None).map(Box::new);
-        let _ = self.words.try_send(Word::Reload(config));
+        let _ = self.words.try_send(ControlEvent::Reload(config));
     }
 
     pub fn ends(self) {
--- a/crates/program/tests/sidecar/stop.rs
+++ b/crates/program/tests/sidecar/stop.rs
@@ -3,8 +3,8 @@
 use crate::peers::*;
 use crate::program::make_pipe;
 use cottonpoint::config::Config;
-use cottonpoint::serve::{self, Word};
-use cottonpoint::taken_out::OUT_FILE;
+use cottonpoint::serve::{self, ControlEvent};
+use cottonpoint::taken_out::DISABLED_FILE;
 use futures_lite::{StreamExt, stream};
 use insta::assert_snapshot;
 use std::io::Write;
@@ -160,7 +160,7 @@
     let hold = async move {
         holds.send(()).expect("the story goes on");
         told.recv().expect("the story goes on");
-        Word::Stop
+        ControlEvent::Stop
     };
     let words = Box::pin(stream::once_future(hold).chain(stream::pending()));
     let config = config.expect("good");
@@ -170,7 +170,7 @@
     for (i, client) in queued.iter_mut().enumerate() {
         send(client, &LOOK.replace("c1", &format!("q{i}")));
     }
-    std::fs::write(state.path().join(serve::Succession::FILE), "1").expect("a file");
+    std::fs::write(state.path().join(serve::PidFile::FILE_NAME), "1").expect("a file");
     let_go.send(()).expect("it is held");
     for client in &mut queued {
         assert!(message(client).starts_with("HTTP/1.1 200"));
@@ -184,7 +184,7 @@
 /// A sidecar whose disk hangs: what it writes of endpoints out by hand goes to a pipe at first, and stays there until
 /// somebody reads it. It has been told to take `t0` out and then `t1`, and to stop; yields its end.
 fn stopping_on_a_hung_disk(state: &Path) -> (PathBuf, Receiver<()>) {
-    let pipe = state.join(OUT_FILE).with_extension(format!("{}.new", std::process::id()));
+    let pipe = state.join(DISABLED_FILE).with_extension(format!("{}.new", std::process::id()));
     make_pipe(&pipe);
     let (target, discovery) = (Peer::new().address, Peer::new());
     let known = list(1, true, &[line("t0", target, "active"), line("t1", target, "active")]);
@@ -209,7 +209,9 @@
     ended.recv().expect("it ends");
     // Both endpoints may have gone through the pipe, which is then in the file's place; or the second text is the file.
     let both = r#"["t0","t1"]"#;
-    assert!(read == both || std::fs::read_to_string(state.path().join(OUT_FILE)).expect("a file") == both);
+    assert!(
+        read == both || std::fs::read_to_string(state.path().join(DISABLED_FILE)).expect("a file") == both
+    );
 }
 
 /// Guards against: a disk that hangs keeping a process beyond the time when SIGKILL may come.
--- a/crates/program/tests/succession.rs
+++ b/crates/program/tests/succession.rs
@@ -1,10 +1,10 @@
 //! Processes of one sidecar that follow each other on the clients' address, as the state directory tells.
 #![allow(missing_docs)]
 
-use cottonpoint::serve::Succession;
+use cottonpoint::serve::PidFile;
 
 fn written(dir: &std::path::Path, pid: u32) {
-    std::fs::write(dir.join(Succession::FILE), pid.to_string()).expect("a file");
+    std::fs::write(dir.join(PidFile::FILE_NAME), pid.to_string()).expect("a file");
 }
 
 /// Guards against: an upgrade taken for a restart (the older process would accept for 0.7 s more, and the
@@ -12,18 +12,18 @@
 #[test]
 fn an_older_process_knows_a_newer_one_and_a_newer_one_an_older_one() {
     let dir = tempfile::tempdir().expect("a directory");
-    let succession = Succession::new(dir.path());
-    assert!(!succession.beside_another() && !succession.followed(), "nobody announced");
+    let succession = PidFile::new(dir.path());
+    assert!(!succession.is_another_running() && !succession.is_superseded(), "nobody announced");
     succession.announce().expect("announced");
-    assert!(!succession.beside_another() && !succession.followed(), "only this process");
+    assert!(!succession.is_another_running() && !succession.is_superseded(), "only this process");
     // The first process of the system is alive; a number above the kernel's largest process id is not.
     written(dir.path(), 1);
-    assert!(succession.beside_another() && succession.followed());
+    assert!(succession.is_another_running() && succession.is_superseded());
     written(dir.path(), 4_194_305);
-    assert!(!succession.beside_another(), "one that has ended is no neighbour");
-    assert!(succession.followed());
-    std::fs::write(dir.path().join(Succession::FILE), "garbled").expect("a file");
-    assert!(!succession.beside_another() && !succession.followed());
+    assert!(!succession.is_another_running(), "one that has ended is no neighbour");
+    assert!(succession.is_superseded());
+    std::fs::write(dir.path().join(PidFile::FILE_NAME), "garbled").expect("a file");
+    assert!(!succession.is_another_running() && !succession.is_superseded());
 }
 
 /// Guards against: a second process on the clients' address that cannot start (address in use).
@@ -40,8 +40,8 @@
 #[test]
 fn a_late_announcement_does_not_hide_a_newer_process() {
     let dir = tempfile::tempdir().expect("a directory");
-    let succession = Succession::new(dir.path());
+    let succession = PidFile::new(dir.path());
     written(dir.path(), 1);
     succession.announce().expect("the disk takes it");
-    assert!(succession.followed());
+    assert!(succession.is_superseded());
 }
