--- a/crates/program/tests/config.rs
+++ b/crates/program/tests/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: each fault is one line that names its key.
+//! The configuration: each fault is reported in one line that names its key.
 #![allow(missing_docs)]
 
 #[path = "sidecar/peers.rs"]
@@ -13,7 +13,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::process::{Child, Command, Stdio};
 
-/// What is changed in a good configuration, and to what.
+/// Replacements in the valid configuration that make it invalid: the text replaced, and its
+/// replacement.
 const FAULTS: &[(&str, &str)] = &[
     ("{\"name\"", "\"name\""),
     ("\"name\":\"n0\"", "\"name\":7"),
@@ -28,7 +29,7 @@
     ("\"me\":0,", ""),
     ("\"semantics\":\"read_like\"", "\"semantics\":\"odd\""),
     ("\"semantics\":\"read_like\"", "\"semantics\":null"),
-    // A patience of nothing would set the balancer's votes below zero.
+    // A client timeout of 0 would set the balancer's votes below zero.
     ("\"give_up_ns\":3000000000", "\"give_up_ns\":0"),
     ("\"max_attempts\":3", "\"max_attempts\":-3"),
     ("\"quota_per_s\":1000.0", "\"quota_per_s\":\"many\""),
@@ -71,29 +72,30 @@
 
 const WINDOW_OF_ZERO: &str = "\"idempotency_key\",\"group\":\"all\",\"window_ns\":0";
 
-/// The good configuration that the faults are made in.
-fn good() -> String {
-    peers::config("127.0.0.1:8500".parse().unwrap(), "null", 1024)
+/// The valid configuration in which the faults are made.
+fn valid() -> String {
+    peers::config_json("127.0.0.1:8500".parse().unwrap(), "null", 1024)
 }
 
-fn faulty() -> impl Iterator<Item = (&'static str, String)> {
-    let good = good();
+fn invalid_texts() -> impl Iterator<Item = (&'static str, String)> {
+    let valid = valid();
     FAULTS.iter().map(move |(from, to)| {
-        assert!(good.contains(from), "{from}");
-        (*to, good.replacen(from, to, 1))
+        assert!(valid.contains(from), "{from}");
+        (*to, valid.replacen(from, to, 1))
     })
 }
 
-/// Guards against: a bad configuration that starts, or one whose message does not say where to look.
+/// Guards against an invalid configuration that is accepted, or whose error does not say where to
+/// look.
 #[test]
-fn a_fault_is_named_by_its_key() {
-    let mut said = String::new();
-    for (what, text) in faulty() {
-        let fault = Config::parse(&text, |_| None).expect_err(what).to_string();
+fn error_names_the_key() {
+    let mut errors = String::new();
+    for (change, text) in invalid_texts() {
+        let fault = Config::parse(&text, |_| None).expect_err(change).to_string();
         assert_eq!(fault.lines().count(), 1);
-        said += &format!("{fault}\n");
+        errors += &format!("{fault}\n");
     }
-    assert_snapshot!(said, @r#"
+    assert_snapshot!(errors, @r#"
     configuration: (whole): invalid type: string "name", expected an object (line 1, column 6)
     configuration: name: invalid type: integer `7`, expected a string (line 1, column 9)
     configuration: listen: is missing, and NODE_LISTEN is not set
@@ -145,23 +147,23 @@
     "#);
 }
 
-/// A process of the program; it ends with its story, also where that fails.
-struct Serving(Child);
+/// A process of the program; it is killed at the end of the test, also if that fails.
+struct Process(Child);
 
-impl Drop for Serving {
+impl Drop for Process {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// Guards against: a fault that `check`, a start or SIGHUP takes or tells without file and key, and one at SIGHUP
-/// that changes what is served.
+/// Guards against a fault that `check`, a start or SIGHUP accepts or reports without file and key,
+/// and one at SIGHUP that changes what is served.
 #[test]
-fn a_fault_is_told_with_its_file_and_the_old_settings_hold() {
+fn invalid_file_is_named_and_previous_settings_stay_in_force() {
     let dir = tempfile::tempdir().unwrap();
     let (file, operator) = (dir.path().join("sidecar.json"), dir.path().join("operator.toml"));
-    // A line for each fault.
+    // The limit leaves a log line for each fault.
     std::fs::write(&operator, "[log]\nform = \"json\"\nwarnings_per_minute = 1000\n").unwrap();
     let program = |command: &str| {
         let mut program = Command::new(env!("CARGO_BIN_EXE_cottonpoint"));
@@ -169,42 +171,43 @@
         program.stderr(Stdio::piped());
         program
     };
-    let (target, discovery) = (peers::Peer::new(), peers::Peer::new());
-    let known = peers::list(1, true, &[peers::line("t0", target.address, "active")]);
-    std::fs::write(&file, peers::config(discovery.address, &known, 1024)).unwrap();
-    let seen = target.echo();
-    let mut sidecar = Serving(program("serve").spawn().unwrap());
+    let (endpoint, discovery) = (peers::ScriptedServer::new(), peers::ScriptedServer::new());
+    let known = peers::list_json(1, true, &[peers::instance_json("t0", endpoint.address, "active")]);
+    std::fs::write(&file, peers::config_json(discovery.address, &known, 1024)).unwrap();
+    let requests = endpoint.echo_requests();
+    let mut sidecar = Process(program("serve").spawn().unwrap());
     let log = BufReader::new(sidecar.0.stderr.take().unwrap()).lines();
     let mut log = log.map(|line| serde_json::from_str::<Value>(&line.unwrap()).unwrap());
-    let mut told = |message: &str| log.find(|line| line["message"] == message).expect("it says so");
-    let address: SocketAddr = told("serves")["listen"].as_str().unwrap().parse().unwrap();
+    let mut find_line = |message: &str| log.find(|line| line["message"] == message).expect("it is logged");
+    let address: SocketAddr = find_line("serves")["listen"].as_str().unwrap().parse().unwrap();
     let mut client = TcpStream::connect(address).unwrap();
-    for (what, text) in faulty() {
-        let fault = Config::parse(&text, |_| None).expect_err(what).to_string();
+    for (change, text) in invalid_texts() {
+        let fault = Config::parse(&text, |_| None).expect_err(change).to_string();
         let fault = fault.replacen("configuration", &format!("configuration {}", file.display()), 1);
         std::fs::write(&file, text).unwrap();
         for command in ["check", "serve"] {
-            let refused = program(command).output().unwrap();
-            assert!(!refused.status.success(), "{command} takes {what}");
-            assert_eq!(String::from_utf8_lossy(&refused.stderr), format!("cottonpoint: {fault}\n"));
+            let rejected = program(command).output().unwrap();
+            assert!(!rejected.status.success(), "{command} accepts {change}");
+            assert_eq!(String::from_utf8_lossy(&rejected.stderr), format!("cottonpoint: {fault}\n"));
         }
         kill_process(Pid::from_child(&sidecar.0), Signal::HUP).unwrap();
         assert_eq!(
-            told("invalid configuration ignored; the previous one stays in force")["fault"],
+            find_line("invalid configuration ignored; the previous one stays in force")["fault"],
             fault.as_str()
         );
         peers::send(&mut client, peers::LOOK);
-        assert!(peers::message(&mut client).starts_with("HTTP/1.1 200"), "{what}");
-        assert!(seen.recv().unwrap().starts_with("GET /look"), "{what}");
+        assert!(peers::read_message(&mut client).starts_with("HTTP/1.1 200"), "{change}");
+        assert!(requests.recv().unwrap().starts_with("GET /look"), "{change}");
     }
     kill_process(Pid::from_child(&sidecar.0), Signal::TERM).unwrap();
     assert!(sidecar.0.wait().unwrap().success());
 }
 
-/// Guards against: settings refused that a deployment may have: no tenants, shares rounded or left out, a quota
-/// or a worth of nothing, endpoints that start warm or never fall, an index beyond a count that has grown old.
+/// Guards against rejecting settings that a deployment may have: no tenants, shares that are
+/// rounded or left out, a quota or a worth of 0, endpoints that start warm or are never marked
+/// down, an index beyond a count that is out of date.
 #[test]
-fn what_a_deployment_may_have_starts() {
+fn settings_that_a_deployment_may_have_are_accepted() {
     for (from, to) in [
         ("\"orgs\":[{", "\"orgs\":[],\"no\":[{"),
         ("\"orgs\":[{", "\"no\":[{"),
@@ -222,18 +225,18 @@
         ("\"azs\":[\"a\"]", "\"azs\":[]"),
         ("\"max_retry_after_ns\":2000000000", "\"max_retry_after_ns\":0,\"conn_idle_ns\":0"),
     ] {
-        let (good, text) = (good(), good().replacen(from, to, 1));
-        assert_ne!(good, text, "{from}");
+        let (valid, text) = (valid(), valid().replacen(from, to, 1));
+        assert_ne!(valid, text, "{from}");
         assert!(Config::parse(&text, |_| None).is_ok(), "{to}");
     }
 }
 
-/// Guards against: a default or a stand-in that is not the stated one.
+/// Guards against a default, or a value from the environment, that is not the documented one.
 #[test]
-fn what_it_does_not_say_has_a_default() {
+fn missing_keys_have_defaults() {
     let discovery = "127.0.0.1:8500".parse().unwrap();
-    let known = peers::list(41, false, &[peers::line("t0", discovery, "active")]);
-    let text = peers::config(discovery, &known, 1024);
+    let known = peers::list_json(41, false, &[peers::instance_json("t0", discovery, "active")]);
+    let text = peers::config_json(discovery, &known, 1024);
     let text = text
         .replace("\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",", "")
         .replace("\"sockets\":1024", "\"cpus\":1");
--- a/crates/program/tests/operator.rs
+++ b/crates/program/tests/operator.rs
@@ -11,17 +11,19 @@
 use cottonpoint_file::Text;
 use cottonpoint_mesh::seal::Key;
 use insta::assert_snapshot;
-use peers::{LOOK, Peer, config, line, list, listen, message, send};
+use peers::{LOOK, ScriptedServer, config_json, instance_json, list_json, listen, read_message, send};
 use std::net::TcpStream;
 
-/// Guards against: an example that says what does not hold, or that the program would not take.
+/// Guards against an example whose values are not the defaults, or that the program would not
+/// accept.
 #[test]
-fn the_example_and_the_shipped_file_are_what_holds_without_one() {
+fn example_and_shipped_file_hold_the_defaults() {
     let example = OperatorConfig::example();
     assert_eq!(OperatorConfig::read(&Text::new("example", &example)), Ok(OperatorConfig::default()));
     let shipped = include_str!("../../../deploy/cottonpoint.toml");
-    assert_eq!(shipped, example, "print it anew with: cottonpoint config example");
-    // The keys that the example only names as comments are some; only that the key's file is not there.
+    assert_eq!(shipped, example, "regenerate it with: cottonpoint config example");
+    // Uncommented, the keys that the example shows as comments are valid; only the key file does
+    // not exist.
     let key = |l: &str| l.split(' ').nth(1) == Some("=");
     let named = example.lines().map(|l| l.strip_prefix("# ").filter(|l| key(l)).unwrap_or(l));
     let named = named.collect::<Vec<_>>().join("\n");
@@ -36,10 +38,10 @@
     assert_eq!((read.fleet.name.as_deref(), read.fleet.cluster.as_str()), (Some("n0"), "archive"));
 }
 
-/// Guards against: a wrong file that is taken, or refused without saying where.
+/// Guards against an invalid file that is accepted, or rejected without its line and key.
 #[test]
-fn a_fault_is_named_by_file_line_and_key() {
-    let mut said = String::new();
+fn error_names_file_line_and_key() {
+    let mut errors = String::new();
     for text in [
         "[log]\nlevel = \"loud\"",
         "[log]\n\nform = \"xml\"",
@@ -65,14 +67,15 @@
     ] {
         let fault = OperatorConfig::read(&Text::new("cottonpoint.toml", text)).expect_err(text).to_string();
         assert_eq!(fault.lines().count(), 1);
-        said += &format!("{fault}\n");
+        errors += &format!("{fault}\n");
     }
-    assert_snapshot!(said);
+    assert_snapshot!(errors);
 }
 
-/// Guards against: a check that prints keys, or says less than how the fleet stands; a key with its line's end in it.
+/// Guards against a check that prints keys or omits the fleet's settings, and against a key that
+/// includes its line terminator.
 #[test]
-fn check_says_what_the_fleet_comes_to_and_never_a_key() {
+fn check_prints_fleet_settings_and_no_key() {
     let dir = tempfile::tempdir().expect("a directory");
     let key = dir.path().join("key");
     std::fs::write(&key, "0123456789abcdef\r\n").expect("a file");
@@ -87,47 +90,49 @@
     fleet        archive, listens on 10.0.0.7:7946, keys 1, seeds 1, every 1000 ms, threads 2
     ");
     assert!(!format!("{operator:?}").contains("0123456789abcdef"));
-    // The configuration's name stands in for the member's, where it is one.
+    // The configuration's name is the member's, if it is valid for one.
     assert_eq!(operator.fleet.name_or("n0"), Ok("n0".to_owned()));
     let long = "n".repeat(33);
     assert!(operator.fleet.name_or(&long).expect_err("too long").contains("fleet.name"));
 }
 
-/// Guards against: figures that do not follow what happened.
+/// Guards against metrics that do not follow what happened.
 #[test]
-fn metrics_count_what_passed() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let known = list(1, true, &[line("t0", target.address, "active")]);
-    let text = config(discovery.address, &known, 1024).replace("400000000", "10000000000");
+fn metrics_count_requests_and_attempts() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let known = list_json(1, true, &[instance_json("t0", endpoint.address, "active")]);
+    let text = config_json(discovery.address, &known, 1024).replace("400000000", "10000000000");
     let configuration = Config::parse(&text, |_| None).expect("good");
-    let ((listener, address), (watched, metrics)) = (listen(), listen());
-    let (words, heard) = async_channel::unbounded();
+    let ((listener, address), (metrics_listener, metrics)) = (listen(), listen());
+    let (control_events, receiver) = async_channel::unbounded();
     let sidecar = std::thread::spawn(move || {
-        serve::run(configuration, listener, Some(watched), Box::pin(heard)).expect("it serves");
+        serve::run(configuration, listener, Some(metrics_listener), Box::pin(receiver)).expect("it serves");
     });
-    let ask = |at, request: &str| {
+    let request = |at, request: &str| {
         let mut client = TcpStream::connect(at).expect("it listens");
         send(&mut client, request);
-        message(&mut client)
+        read_message(&mut client)
     };
     let mut client = TcpStream::connect(address).expect("it listens");
     send(&mut client, LOOK);
-    let mut came = target.accept();
-    came.reply("200 OK", "", "seen");
-    assert!(message(&mut client).ends_with("seen"));
-    assert!(ask(address, "noise\n\n").starts_with("HTTP/1.1 400"));
-    // The bad one's connection goes once its close is seen.
-    let page = std::iter::repeat_with(|| ask(metrics, "GET /metrics HTTP/1.1\nHost: n0\n\n"));
+    let mut connection = endpoint.accept();
+    connection.reply("200 OK", "", "seen");
+    assert!(read_message(&mut client).ends_with("seen"));
+    assert!(request(address, "noise\n\n").starts_with("HTTP/1.1 400"));
+    // The connection of the invalid request is counted until its close is detected.
+    let page = std::iter::repeat_with(|| request(metrics, "GET /metrics HTTP/1.1\nHost: n0\n\n"));
     let page = { page }.find(|page| page.contains("client_connections 1\n")).expect("at last");
     let lines = page.lines().filter(|line| line.starts_with("cottonpoint_"));
-    let (moving, mut counted): (Vec<&str>, Vec<&str>) = lines.partition(|line| line.contains("_seconds "));
+    let (durations, mut counted): (Vec<&str>, Vec<&str>) =
+        lines.partition(|line| line.contains("_seconds "));
     counted.sort_unstable();
     assert_snapshot!(counted.join("\n"));
-    // It was never confirmed and has no age. It is that of the start, for 6 s and 0.3 s of the grace.
-    let lease = moving.iter().map(|line| line.rsplit_once(' ').expect("a figure"));
+    // The list was never confirmed, so it has no age. It is the initial one, with a lease of 6 s
+    // and 0.3 s of grace.
+    let lease = durations.iter().map(|line| line.rsplit_once(' ').expect("a figure"));
     let lease: Vec<(&str, f64)> = lease.map(|(name, s)| (name, s.parse().expect("a number"))).collect();
     assert!(matches!(lease[..], [("cottonpoint_list_lease_seconds", 5.0..=6.3)]), "{lease:?}");
-    assert!(ask(metrics, "GET / HTTP/1.1\nHost: n0\n\n").starts_with("HTTP/1.1 404"));
-    words.try_send(ControlEvent::Stop).expect("it listens");
+    assert!(request(metrics, "GET / HTTP/1.1\nHost: n0\n\n").starts_with("HTTP/1.1 404"));
+    control_events.try_send(ControlEvent::Stop).expect("it listens");
     sidecar.join().expect("it ends without a panic");
 }
--- a/crates/program/tests/sidecar/clients.rs
+++ b/crates/program/tests/sidecar/clients.rs
@@ -1,28 +1,28 @@
-//! Clients: bad input, slow and silent senders, connections that make room for each other.
+//! Clients: invalid input, slow and silent senders, connections that make room for each other.
 
 use crate::peers::*;
 use insta::assert_snapshot;
 use std::io::Write;
 
-/// Guards against: work for a client that has gone.
+/// Guards against work for a client that has disconnected.
 #[test]
-fn a_client_that_leaves_takes_its_forward_along() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let sidecar = Running::knowing(&[target.address], &discovery);
+fn attempt_is_cancelled_when_client_disconnects() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
     let mut client = sidecar.client();
     send(&mut client, LOOK);
-    let mut came = target.accept();
+    let mut connection = endpoint.accept();
     drop(client);
-    assert_eq!(came.next(), "", "its connection is closed");
-    sidecar.ends();
+    assert_eq!(connection.read_next(), "", "its connection is closed");
+    sidecar.stop_and_join();
 }
 
-/// Guards against: bad input that reaches the balancer or a target, or stops the program.
+/// Guards against invalid input that reaches the balancer or an endpoint, or stops the program.
 #[test]
-fn bad_input_is_answered_here() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let sidecar = Running::knowing(&[target.address], &discovery);
-    let seen = target.echo();
+fn invalid_request_gets_local_reply() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
+    let requests = endpoint.echo_requests();
     let mut answers = String::new();
     for (what, request) in [
         ("no HTTP", "hello\n\n".to_owned()),
@@ -60,7 +60,7 @@
         ("negative time left", LOOK.replace("3000", "-3000")),
         ("time left beyond numbers", LOOK.replace("3000", "99999999999999999999")),
     ] {
-        let answer = sidecar.ask(&request);
+        let answer = sidecar.request(&request);
         let close = if answer.contains("Connection: close") { ", closes" } else { "" };
         answers += &format!("{what}: {}{close}\n", answer.lines().next().unwrap_or("nothing"));
     }
@@ -91,132 +91,136 @@
     negative time left: HTTP/1.1 400 Bad Request, closes
     time left beyond numbers: HTTP/1.1 400 Bad Request, closes
     ");
-    // A time left that is not given stands for the class's own.
-    assert!(sidecar.ask(&LOOK.replace("X-Time-Left-Ms: 3000\n", "")).starts_with("HTTP/1.1 200"));
-    assert!(seen.recv().unwrap().starts_with("GET /look"));
-    assert!(seen.try_recv().is_err(), "nothing else reached the target");
-    sidecar.ends();
+    // Without a time left the class's own applies.
+    assert!(sidecar.request(&LOOK.replace("X-Time-Left-Ms: 3000\n", "")).starts_with("HTTP/1.1 200"));
+    assert!(requests.recv().unwrap().starts_with("GET /look"));
+    assert!(requests.try_recv().is_err(), "nothing else reached the endpoint");
+    sidecar.stop_and_join();
 }
 
-/// Guards against: a second request under the id of an open one served, and its client given the other's answer.
+/// Guards against serving a second request with the ID of an open one, and against giving its
+/// client the other's answer.
 #[test]
-fn the_id_of_an_open_request_is_turned_away() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let sidecar = Running::knowing(&[target.address], &discovery);
+fn id_of_open_request_is_rejected() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
     let mut client = sidecar.client();
     send(&mut client, LOOK);
-    let mut came = target.accept();
-    assert!(sidecar.ask(LOOK).starts_with("HTTP/1.1 409"));
-    came.reply("200 OK", "", "mine");
-    assert!(message(&mut client).ends_with("mine"));
-    // Once that one is answered, its id is as good as any.
+    let mut connection = endpoint.accept();
+    assert!(sidecar.request(LOOK).starts_with("HTTP/1.1 409"));
+    connection.reply("200 OK", "", "mine");
+    assert!(read_message(&mut client).ends_with("mine"));
+    // Once that request is answered, its ID can be used again.
     send(&mut client, LOOK);
-    assert!(came.next().starts_with("GET"));
-    came.reply("200 OK", "", "again");
-    assert!(message(&mut client).ends_with("again"));
-    sidecar.ends();
+    assert!(connection.read_next().starts_with("GET"));
+    connection.reply("200 OK", "", "again");
+    assert!(read_message(&mut client).ends_with("again"));
+    sidecar.stop_and_join();
 }
 
-/// Guards against: the refusal of a huge body lost in the reset that closing on unread input brings.
+/// Guards against losing the rejection of a huge body in the reset that closing a connection with
+/// unread input causes.
 #[test]
-fn a_huge_body_is_refused_from_its_head() {
-    let discovery = Peer::new();
-    let sidecar = Running::knowing(&[discovery.address], &discovery);
+fn oversized_body_is_rejected_by_its_head() {
+    let discovery = ScriptedServer::new();
+    let sidecar = TestSidecar::with_endpoints(&[discovery.address], &discovery);
     let mut client = sidecar.client();
     send(&mut client, &ORDER.replace("Length: 5", "Length: 60000000"));
     for _ in 0..64 {
-        // All of it is taken, though the answer has long been given.
+        // All of it is read, although the answer was given long before.
         client.write_all(&[b'x'; 64 << 10]).expect("it reads on");
     }
-    assert!(message(&mut client).starts_with("HTTP/1.1 413"));
-    sidecar.ends();
+    assert!(read_message(&mut client).starts_with("HTTP/1.1 413"));
+    sidecar.stop_and_join();
 }
 
-/// Guards against: clients that say nothing, or begin and do not end, left with neither answer nor close.
+/// Guards against clients that send nothing, or a request that they do not finish, and get neither
+/// an answer nor a close.
 #[test]
-fn the_silent_and_the_slow_are_let_go_within_three_seconds() {
-    let discovery = Peer::new();
-    let sidecar = Running::knowing(&[discovery.address], &discovery);
-    let begun = std::time::Instant::now();
+fn silent_and_slow_clients_are_closed_within_three_seconds() {
+    let discovery = ScriptedServer::new();
+    let sidecar = TestSidecar::with_endpoints(&[discovery.address], &discovery);
+    let start = std::time::Instant::now();
     let (mut silent, mut slow) = (sidecar.client(), sidecar.client());
     send(&mut slow, "GET /look/7 HTTP/1.1\nX-");
-    assert_eq!(message(&mut silent), "");
-    assert!(message(&mut slow).starts_with("HTTP/1.1 408"));
-    assert!(begun.elapsed().as_secs() < 3);
-    sidecar.ends();
+    assert_eq!(read_message(&mut silent), "");
+    assert!(read_message(&mut slow).starts_with("HTTP/1.1 408"));
+    assert!(start.elapsed().as_secs() < 3);
+    sidecar.stop_and_join();
 }
 
-/// Guards against: a sender whose message never ends keeping the one thread to itself.
+/// Guards against a sender whose message never ends and that occupies the only thread.
 #[test]
-fn an_endless_sender_starves_nobody() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let sidecar = Running::knowing(&[target.address], &discovery);
-    let _seen = target.echo();
+fn endless_message_does_not_starve_other_clients() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
+    let _requests = endpoint.echo_requests();
     let mut endless = sidecar.client();
     let chunked = ORDER.replace("Content-Length: 5", "Transfer-Encoding: chunked").replace("paper", "0\n");
     send(&mut endless, &chunked);
     let sender =
         std::thread::spawn(move || while endless.write_all(&b"X-More: 1\r\n".repeat(4096)).is_ok() {});
     for _ in 0..20 {
-        assert!(sidecar.ask(LOOK).starts_with("HTTP/1.1 200"));
+        assert!(sidecar.request(LOOK).starts_with("HTTP/1.1 200"));
     }
-    sender.join().expect("it is cut off");
-    sidecar.ends();
+    sender.join().expect("its connection is closed");
+    sidecar.stop_and_join();
 }
 
-/// Guards against: idle connections that use up the descriptors and shut others out.
+/// Guards against idle connections that use up the descriptors and shut other clients out.
 #[test]
-fn more_connections_than_descriptors_allow_make_room_for_each_other() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let known = list(1, true, &[line("t0", target.address, "active")]);
-    let sidecar = Running::start(&config(discovery.address, &known, 96));
-    let _seen = target.echo();
+fn idle_connections_make_room_at_the_connection_limit() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let known = list_json(1, true, &[instance_json("t0", endpoint.address, "active")]);
+    let sidecar = TestSidecar::start(&config_json(discovery.address, &known, 96));
+    let _requests = endpoint.echo_requests();
     let mut kept = Vec::new();
     for _ in 0..100 {
         let mut client = sidecar.client();
         send(&mut client, LOOK);
-        assert!(message(&mut client).starts_with("HTTP/1.1 200"));
+        assert!(read_message(&mut client).starts_with("HTTP/1.1 200"));
         kept.push(client);
     }
-    sidecar.ends();
+    sidecar.stop_and_join();
 }
 
-/// Guards against: slow senders that hold every connection and shut others out until their time is up.
+/// Guards against slow senders that occupy every connection and shut other clients out until they
+/// time out.
 #[test]
-fn slow_senders_make_room_last_but_in_time() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let known = list(1, true, &[line("t0", target.address, "active")]);
-    let sidecar = Running::start(&config(discovery.address, &known, 96));
-    let _seen = target.echo();
+fn slow_senders_make_room_at_the_connection_limit() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let known = list_json(1, true, &[instance_json("t0", endpoint.address, "active")]);
+    let sidecar = TestSidecar::start(&config_json(discovery.address, &known, 96));
+    let _requests = endpoint.echo_requests();
     let mut slow = Vec::new();
     for _ in 0..40 {
         let mut client = sidecar.client();
         send(&mut client, "GET /look/7 HTTP/1.1\nX-");
         slow.push(client);
     }
-    let begun = std::time::Instant::now();
-    assert!(sidecar.ask(LOOK).starts_with("HTTP/1.1 "), "it is answered");
-    assert!(begun.elapsed().as_secs() < 5, "before a slow sender's time is up");
+    let start = std::time::Instant::now();
+    assert!(sidecar.request(LOOK).starts_with("HTTP/1.1 "), "it is answered");
+    assert!(start.elapsed().as_secs() < 5, "before a slow sender times out");
     drop(slow);
-    sidecar.ends();
+    sidecar.stop_and_join();
 }
 
-/// Guards against: new connections closed to make room for each other while their first request is on its way
-/// (76 of 200 requests at once were lost so, with room for 28 connections).
+/// Guards against closing new connections to make room for each other while their first request is
+/// on its way (76 of 200 simultaneous requests were lost so, with room for 28 connections).
 #[test]
-fn a_new_connection_is_given_time_for_its_first_request() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let known = list(1, true, &[line("t0", target.address, "active")]);
-    let sidecar = Running::start(&config(discovery.address, &known, 96));
-    let _seen = target.echo();
+fn new_connection_gets_time_for_its_first_request() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let known = list_json(1, true, &[instance_json("t0", endpoint.address, "active")]);
+    let sidecar = TestSidecar::start(&config_json(discovery.address, &known, 96));
+    let _requests = endpoint.echo_requests();
     let mut clients: Vec<_> = (0..24).map(|_| sidecar.client()).collect();
-    // Connections are accepted in turn: once one is answered, all before it wait for their requests, and the
-    // next one needs room.
-    sidecar.ask(LOOK);
-    sidecar.ask(LOOK);
+    // Connections are accepted in order: once one is answered, all before it wait for their
+    // requests, and the next one needs room.
+    sidecar.request(LOOK);
+    sidecar.request(LOOK);
     for client in &mut clients {
         send(client, LOOK);
-        assert!(message(client).starts_with("HTTP/1.1 200"));
+        assert!(read_message(client).starts_with("HTTP/1.1 200"));
     }
-    sidecar.ends();
+    sidecar.stop_and_join();
 }
--- a/crates/program/tests/sidecar/crossing.rs
+++ b/crates/program/tests/sidecar/crossing.rs
@@ -1,9 +1,11 @@
-//! An answer of discovery that crosses a reload, on an executor that the story drives: what has arrived when the move is
-//! heard of is not left to chance.
+//! An answer of discovery that crosses a reload, on an executor that the test drives: what has
+//! arrived when the sidecar learns of the new address is not left to chance.
 //!
-//! Seen in soak 9219: seven attempts went to an endpoint that drained. Discovery had written the change to the process
-//! 17 ms after the process took a new configuration; the process logged no such answer. A configuration with another
-//! discovery dropped the poll under way, with what had arrived on it or was about to, and what is written counts as told.
+//! The fault (soak 9219): seven attempts went to an endpoint that was draining. Discovery had
+//! written the change to the process 17 ms after the process took a new configuration, and the
+//! process logged no such answer. A configuration with another discovery dropped the open poll,
+//! along with what had arrived on it or was about to, although discovery counts what it has written
+//! as known to the sidecar.
 
 use crate::embedded::Embedded;
 use crate::peers::*;
@@ -17,30 +19,32 @@
 /// A sidecar that follows discovery.
 struct Follower {
     embedded: Embedded,
-    moves: async_channel::Sender<Place>,
+    address_updates: async_channel::Sender<Place>,
 }
 
 impl Follower {
-    fn start(discovery: &Peer) -> Follower {
-        let embedded = Embedded::new(&endpoints(false), 8, Duration::from_millis(500));
-        let moves = embedded.follow(discovery.address);
-        Follower { embedded, moves }
+    fn start(discovery: &ScriptedServer) -> Follower {
+        let embedded = Embedded::new(&two_endpoints(false), 8, Duration::from_millis(500));
+        let address_updates = embedded.follow(discovery.address);
+        Follower { embedded, address_updates }
     }
 
-    /// Names another discovery; it is heard of when the follower runs again.
-    fn moves_to(&self, discovery: &Peer) {
-        self.moves.try_send(Place { address: discovery.address, pushed: false }).expect("it listens");
+    /// Moves to another discovery; the follower learns of it when it runs again.
+    fn move_to(&self, discovery: &ScriptedServer) {
+        self.address_updates
+            .try_send(Place { address: discovery.address, pushed: false })
+            .expect("it listens");
     }
 
-    /// Lets it run until it has polled there.
-    fn polls(&self, discovery: &Peer) -> Came {
-        let (came, comes) = async_channel::bounded(1);
-        let listens = discovery.again();
-        thread::spawn(move || came.try_send(listens.accept()));
-        self.embedded.run(async { comes.recv().await.expect("it polls") })
+    /// Runs the follower until it has polled this discovery.
+    fn wait_for_poll(&self, discovery: &ScriptedServer) -> AcceptedConnection {
+        let (sender, receiver) = async_channel::bounded(1);
+        let server = discovery.share();
+        thread::spawn(move || sender.try_send(server.accept()));
+        self.embedded.run(async { receiver.recv().await.expect("it polls") })
     }
 
-    fn runs_for(&self, time: Duration) {
+    fn run_for(&self, time: Duration) {
         self.embedded.run(async {
             Timer::after(time).await;
         });
@@ -51,38 +55,39 @@
     }
 }
 
-fn endpoints(drains: bool) -> [String; 2] {
+fn two_endpoints(first_drains: bool) -> [String; 2] {
     let address = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
-    let first = if drains { "leaving" } else { "active" };
-    [line("t0", address(9), first), line("t1", address(10), "active")]
+    let first = if first_drains { "leaving" } else { "active" };
+    [instance_json("t0", address(9), first), instance_json("t1", address(10), "active")]
 }
 
-/// Guards against: an answer thrown away that had arrived when the new configuration was heard of.
+/// Guards against discarding an answer that had arrived when the new configuration was received.
 #[test]
-fn an_answer_that_has_arrived_when_discovery_moves_is_taken() {
-    let (before, after) = (Peer::new(), Peer::new());
+fn answer_received_before_discovery_moves_is_applied() {
+    let (before, after) = (ScriptedServer::new(), ScriptedServer::new());
     let follower = Follower::start(&before);
-    let mut watch = follower.polls(&before);
-    // Both are there before the follower runs again.
-    watch.reply("200 OK", "", &list(2, false, &endpoints(true)[..1]));
-    follower.moves_to(&after);
-    let next = follower.polls(&after);
+    let mut watch = follower.wait_for_poll(&before);
+    // Both the answer and the new address are there before the follower runs again.
+    watch.reply("200 OK", "", &list_json(2, false, &two_endpoints(true)[..1]));
+    follower.move_to(&after);
+    let next = follower.wait_for_poll(&after);
     assert!(next.text.starts_with("GET /registry/instances?from=2&"), "{}", next.text);
     assert!(!follower.takes_work("t0"));
 }
 
-/// Guards against: the same with an answer that comes between the move and the new discovery's first answer.
+/// Guards against the same with an answer that arrives between the move and the new discovery's
+/// first answer.
 #[test]
-fn an_answer_is_taken_until_the_new_discovery_has_answered() {
-    let (before, after) = (Peer::new(), Peer::new());
+fn old_discovery_is_heeded_until_new_one_has_answered() {
+    let (before, after) = (ScriptedServer::new(), ScriptedServer::new());
     let follower = Follower::start(&before);
-    let mut watch = follower.polls(&before);
-    follower.moves_to(&after);
-    let mut next = follower.polls(&after);
-    watch.reply("200 OK", "", &list(2, false, &endpoints(true)[..1]));
-    follower.runs_for(Duration::from_millis(50));
-    assert!(!follower.takes_work("t0"), "what was written counts as told");
-    next.reply("200 OK", "", &list(2, false, &endpoints(true)[..1]));
-    follower.runs_for(Duration::from_millis(50));
-    assert_eq!(watch.next(), "", "the old connection is closed once the new discovery has answered");
+    let mut watch = follower.wait_for_poll(&before);
+    follower.move_to(&after);
+    let mut next = follower.wait_for_poll(&after);
+    watch.reply("200 OK", "", &list_json(2, false, &two_endpoints(true)[..1]));
+    follower.run_for(Duration::from_millis(50));
+    assert!(!follower.takes_work("t0"), "what was written counts as known");
+    next.reply("200 OK", "", &list_json(2, false, &two_endpoints(true)[..1]));
+    follower.run_for(Duration::from_millis(50));
+    assert_eq!(watch.read_next(), "", "the old connection is closed once the new discovery has answered");
 }
--- a/crates/program/tests/sidecar/discovery.rs
+++ b/crates/program/tests/sidecar/discovery.rs
@@ -1,39 +1,43 @@
-//! Discovery and reloads: the list followed, kept through what goes wrong, and asked for elsewhere.
+//! Discovery and reloads: the list is followed, survives faults, and is requested from another
+//! address.
 
 use crate::peers::*;
 use insta::assert_snapshot;
 use std::io::Write;
 
-/// Guards against: new work to a target that is leaving, and the list lost when discovery fails.
+/// Guards against new work for an endpoint that is draining, and the loss of the list when
+/// discovery fails.
 #[test]
-fn the_list_is_followed_and_outlives_its_source() {
-    let (old, new, discovery) = (Peer::new(), Peer::new(), Peer::new());
-    let sidecar = Running::knowing(&[old.address], &discovery);
-    let mut call = discovery.accept();
-    assert_snapshot!(call.text.lines().next().unwrap(), @"GET /registry/instances?from=1&hold_ms=1000 HTTP/1.1");
-    let change = [line("t0", old.address, "leaving"), line("t1", new.address, "active")];
-    call.reply("200 OK", "", &list(2, false, &change));
-    // It watches on from there, so it has acted on what it was told.
-    assert!(call.next().starts_with("GET /registry/instances?from=2&"));
-    let seen = new.echo();
-    assert!(sidecar.ask(LOOK).ends_with("GET /look/7?size=2 HTTP/1.1"));
-    assert!(seen.recv().unwrap().starts_with("GET /look"));
-    // A bad answer is a failed call: it asks anew, from the version it holds, and serves meanwhile.
-    call.reply("200 OK", "", r#"{"generation":3,"reset":true,"instances":[{"instanceId":"t0"}]}"#);
-    assert!(sidecar.ask(LOOK).starts_with("HTTP/1.1 200"));
+fn list_is_followed_and_survives_discovery_failure() {
+    let (old, new, discovery) = (ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::with_endpoints(&[old.address], &discovery);
+    let mut poll = discovery.accept();
+    assert_snapshot!(poll.text.lines().next().unwrap(), @"GET /registry/instances?from=1&hold_ms=1000 HTTP/1.1");
+    let change = [instance_json("t0", old.address, "leaving"), instance_json("t1", new.address, "active")];
+    poll.reply("200 OK", "", &list_json(2, false, &change));
+    // The watch continues from there, so the sidecar has applied what it received.
+    assert!(poll.read_next().starts_with("GET /registry/instances?from=2&"));
+    let requests = new.echo_requests();
+    assert!(sidecar.request(LOOK).ends_with("GET /look/7?size=2 HTTP/1.1"));
+    assert!(requests.recv().unwrap().starts_with("GET /look"));
+    // An invalid answer is a failed poll: the sidecar polls again from the version that it holds,
+    // and serves meanwhile.
+    poll.reply("200 OK", "", r#"{"generation":3,"reset":true,"instances":[{"instanceId":"t0"}]}"#);
+    assert!(sidecar.request(LOOK).starts_with("HTTP/1.1 200"));
     assert!(discovery.accept().text.starts_with("GET /registry/instances?from=2&"));
-    sidecar.ends();
+    sidecar.stop_and_join();
 }
 
-/// Guards against: an answer of discovery that ends the program, empties the list, or leaves it without a watch.
+/// Guards against an answer of discovery that ends the program, empties the list, or stops the
+/// watch.
 #[test]
-fn no_answer_of_discovery_harms_the_list() {
+fn invalid_discovery_answer_leaves_list_intact() {
     let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    let target = "127.0.0.1:9".parse().unwrap();
-    let unknown = list(2, false, &[line("t0", target, "resting")]);
-    let portless = list(2, false, &[line("t0", target, "active").replace(":9\"", "\"")]);
-    // What comes, and whether the list held is still known to be whole.
-    let bad = [
+    let endpoint = "127.0.0.1:9".parse().unwrap();
+    let unknown = list_json(2, false, &[instance_json("t0", endpoint, "resting")]);
+    let portless = list_json(2, false, &[instance_json("t0", endpoint, "active").replace(":9\"", "\"")]);
+    // The bytes of the answer, and whether the held list is still known to be complete.
+    let invalid = [
         (String::new(), true),
         ("\u{1}\u{2} noise\r\n\r\n".into(), true),
         (answer("no json"), true),
@@ -42,119 +46,123 @@
         ("HTTP/1.1 503 Unavailable\r\nContent-Length: 0\r\n\r\n".into(), true),
         (answer(&unknown), true),
         (answer(&portless), true),
-        (answer(&list(2, true, &[])), true),
-        (answer(&list(0, false, &[line("t0", target, "left")])), false),
+        (answer(&list_json(2, true, &[])), true),
+        (answer(&list_json(0, false, &[instance_json("t0", endpoint, "left")])), false),
     ];
-    let stories = bad.map(|(bytes, whole)| {
+    let cases = invalid.map(|(bytes, complete)| {
         std::thread::spawn(move || {
-            let (target, next, discovery) = (Peer::new(), Peer::new(), Peer::new());
-            let sidecar = Running::knowing(&[target.address], &discovery);
-            let mut call = discovery.accept();
-            call.stream.write_all(bytes.as_bytes()).expect("the sidecar reads");
-            drop(call);
-            // It asks again, and all the while serves by the list that it holds.
-            let mut call = discovery.accept();
+            let (endpoint, next, discovery) =
+                (ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new());
+            let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
+            let mut poll = discovery.accept();
+            poll.stream.write_all(bytes.as_bytes()).expect("the sidecar reads");
+            drop(poll);
+            // The sidecar polls again, and meanwhile serves by the list that it holds.
+            let mut poll = discovery.accept();
             let from =
-                if whole { "GET /registry/instances?from=1&" } else { "GET /registry/instances HTTP" };
-            assert!(call.text.starts_with(from), "after {bytes:?}: {}", call.text);
-            let seen = target.echo();
-            assert!(sidecar.ask(LOOK).starts_with("HTTP/1.1 200"), "after {bytes:?}");
-            assert!(seen.recv().unwrap().starts_with("GET /look"));
-            // And it takes what comes then.
-            call.reply("200 OK", "", &list(3, true, &[line("t1", next.address, "active")]));
-            assert!(call.next().starts_with("GET /registry/instances?from=3&"), "after {bytes:?}");
-            let seen = next.echo();
-            assert!(sidecar.ask(LOOK).starts_with("HTTP/1.1 200"));
-            assert!(seen.recv().unwrap().starts_with("GET /look"));
-            sidecar.ends();
+                if complete { "GET /registry/instances?from=1&" } else { "GET /registry/instances HTTP" };
+            assert!(poll.text.starts_with(from), "after {bytes:?}: {}", poll.text);
+            let requests = endpoint.echo_requests();
+            assert!(sidecar.request(LOOK).starts_with("HTTP/1.1 200"), "after {bytes:?}");
+            assert!(requests.recv().unwrap().starts_with("GET /look"));
+            // Then it applies the next list.
+            poll.reply("200 OK", "", &list_json(3, true, &[instance_json("t1", next.address, "active")]));
+            assert!(poll.read_next().starts_with("GET /registry/instances?from=3&"), "after {bytes:?}");
+            let requests = next.echo_requests();
+            assert!(sidecar.request(LOOK).starts_with("HTTP/1.1 200"));
+            assert!(requests.recv().unwrap().starts_with("GET /look"));
+            sidecar.stop_and_join();
         })
     });
-    for story in stories {
-        story.join().expect("the story holds");
+    for case in cases {
+        case.join().expect("the case passes");
     }
 }
 
-/// Guards against: a sidecar that waits for ever on a discovery that says nothing, or gives up one that refuses.
+/// Guards against a sidecar that waits forever for a silent discovery, or gives up on one that
+/// refuses connections.
 #[test]
-fn a_discovery_that_is_silent_or_refuses_is_asked_again_and_harms_nothing() {
+fn silent_or_refusing_discovery_is_polled_again() {
     let silent = std::thread::spawn(|| {
-        let (target, discovery) = (Peer::new(), Peer::new());
-        let sidecar = Running::knowing(&[target.address], &discovery);
-        // Held beyond the 10 s of a watch, without a word.
-        let call = discovery.accept();
-        let seen = target.echo();
-        assert!(sidecar.ask(LOOK).starts_with("HTTP/1.1 200"));
-        assert!(seen.recv().unwrap().starts_with("GET /look"));
+        let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+        let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
+        // Held open beyond the 10 s of a watch, without an answer.
+        let poll = discovery.accept();
+        let requests = endpoint.echo_requests();
+        assert!(sidecar.request(LOOK).starts_with("HTTP/1.1 200"));
+        assert!(requests.recv().unwrap().starts_with("GET /look"));
         assert!(discovery.accept().text.starts_with("GET /registry/instances?from=1&"));
-        assert!(sidecar.ask(LOOK).starts_with("HTTP/1.1 200"));
-        drop(call);
-        sidecar.ends();
+        assert!(sidecar.request(LOOK).starts_with("HTTP/1.1 200"));
+        drop(poll);
+        sidecar.stop_and_join();
     });
-    let (target, next, discovery) = (Peer::new(), Peer::new(), Peer::new());
-    let known = list(1, true, &[line("t0", target.address, "active")]);
-    // Nobody listens on the port of tcpmux.
-    let sidecar = Running::start(&config("127.0.0.1:1".parse().unwrap(), &known, 1024));
-    let seen = target.echo();
-    assert!(sidecar.ask(LOOK).starts_with("HTTP/1.1 200"));
-    assert!(seen.recv().unwrap().starts_with("GET /look"));
-    sidecar.reload(&config(discovery.address, &known, 1024));
-    let mut call = discovery.accept();
-    call.reply("200 OK", "", &list(3, true, &[line("t1", next.address, "active")]));
-    assert!(call.next().starts_with("GET /registry/instances?from=3&"));
-    let seen = next.echo();
-    assert!(sidecar.ask(LOOK).starts_with("HTTP/1.1 200"));
-    assert!(seen.recv().unwrap().starts_with("GET /look"));
-    sidecar.ends();
-    silent.join().expect("the story holds");
+    let (endpoint, next, discovery) = (ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new());
+    let known = list_json(1, true, &[instance_json("t0", endpoint.address, "active")]);
+    // Nothing listens on the port of tcpmux.
+    let sidecar = TestSidecar::start(&config_json("127.0.0.1:1".parse().unwrap(), &known, 1024));
+    let requests = endpoint.echo_requests();
+    assert!(sidecar.request(LOOK).starts_with("HTTP/1.1 200"));
+    assert!(requests.recv().unwrap().starts_with("GET /look"));
+    sidecar.reload(&config_json(discovery.address, &known, 1024));
+    let mut poll = discovery.accept();
+    poll.reply("200 OK", "", &list_json(3, true, &[instance_json("t1", next.address, "active")]));
+    assert!(poll.read_next().starts_with("GET /registry/instances?from=3&"));
+    let requests = next.echo_requests();
+    assert!(sidecar.request(LOOK).starts_with("HTTP/1.1 200"));
+    assert!(requests.recv().unwrap().starts_with("GET /look"));
+    sidecar.stop_and_join();
+    silent.join().expect("the case passes");
 }
 
-/// Guards against: a new configuration that ends the program, is not heeded at once, or drops the list held;
-/// and a bad one heeded.
+/// Guards against a new configuration that ends the program, is not applied at once, or drops the
+/// held list, and against applying an invalid one.
 #[test]
-fn a_new_configuration_moves_discovery_and_a_bad_one_changes_nothing() {
-    let (old, new) = (Peer::new(), Peer::new());
-    let (first, second) = (Peer::new(), Peer::new());
-    let sidecar = Running::knowing(&[first.address], &old);
+fn reload_moves_discovery_and_invalid_one_changes_nothing() {
+    let (old, new) = (ScriptedServer::new(), ScriptedServer::new());
+    let (first, second) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::with_endpoints(&[first.address], &old);
     let mut watch = old.accept();
-    let good = config(new.address, "null", 1024);
+    let good = config_json(new.address, "null", 1024);
     sidecar.reload(&good.replace("\"read_like\"", "\"odd\""));
     sidecar.reload(&good);
-    // The watch at the old place ends, and goes on at the new one: it costs a fraction of the whole list. A short wait
-    // shows whether the versions there are the same.
-    assert_eq!(watch.next(), "");
-    let mut call = new.accept();
-    assert_eq!(call.text.lines().next(), Some("GET /registry/instances?from=1&hold_ms=1000 HTTP/1.1"));
-    // Until it answers, the old list holds.
+    // The watch at the old address ends and continues at the new one, which costs a fraction of the
+    // whole list. A short hold shows whether the versions there are the same.
+    assert_eq!(watch.read_next(), "");
+    let mut poll = new.accept();
+    assert_eq!(poll.text.lines().next(), Some("GET /registry/instances?from=1&hold_ms=1000 HTTP/1.1"));
+    // Until the new discovery answers, the old list is used.
     let mut client = sidecar.client();
     send(&mut client, LOOK);
     first.accept().reply("200 OK", "", "old");
-    assert!(message(&mut client).ends_with("old"));
-    call.reply("200 OK", "", &list(1, true, &[line("t1", second.address, "active")]));
-    call.next();
+    assert!(read_message(&mut client).ends_with("old"));
+    poll.reply("200 OK", "", &list_json(1, true, &[instance_json("t1", second.address, "active")]));
+    poll.read_next();
     send(&mut client, LOOK);
     second.accept().reply("200 OK", "", "new");
-    assert!(message(&mut client).ends_with("new"));
-    sidecar.ends();
+    assert!(read_message(&mut client).ends_with("new"));
+    sidecar.stop_and_join();
 }
 
-/// Guards against: a discovery with other versions than those of the list held, after a reload, waited on for news that it
-/// will not tell; its changes are taken for nothing, and the whole list is asked for.
+/// Guards against waiting, after a reload, for changes from a discovery whose versions are not
+/// those of the held list and which will not send any. Its changes are discarded, and the whole
+/// list is requested.
 #[test]
-fn a_discovery_with_older_versions_is_asked_for_the_whole_list() {
-    let (old, new, first, second) = (Peer::new(), Peer::new(), Peer::new(), Peer::new());
-    let known = list(41, true, &[line("t0", first.address, "active")]);
-    let sidecar = Running::start(&config(old.address, &known, 1024));
+fn discovery_with_older_versions_is_polled_for_whole_list() {
+    let (old, new, first, second) =
+        (ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new(), ScriptedServer::new());
+    let known = list_json(41, true, &[instance_json("t0", first.address, "active")]);
+    let sidecar = TestSidecar::start(&config_json(old.address, &known, 1024));
     assert!(old.accept().text.starts_with("GET /registry/instances?from=41&hold_ms=1000 "));
-    sidecar.reload(&config(new.address, "null", 1024));
-    let mut call = new.accept();
-    assert!(call.text.starts_with("GET /registry/instances?from=41&hold_ms=1000 "), "{}", call.text);
-    call.reply("200 OK", "", &list(3, false, &[]));
-    let mut call = new.accept();
-    assert!(call.text.starts_with("GET /registry/instances HTTP"), "{}", call.text);
-    call.reply("200 OK", "", &list(3, true, &[line("t1", second.address, "active")]));
-    assert!(call.next().starts_with("GET /registry/instances?from=3&hold_ms=10000"));
-    let seen = second.echo();
-    assert!(sidecar.ask(LOOK).starts_with("HTTP/1.1 200"));
-    assert!(seen.recv().expect("a forward").starts_with("GET /look"));
-    sidecar.ends();
+    sidecar.reload(&config_json(new.address, "null", 1024));
+    let mut poll = new.accept();
+    assert!(poll.text.starts_with("GET /registry/instances?from=41&hold_ms=1000 "), "{}", poll.text);
+    poll.reply("200 OK", "", &list_json(3, false, &[]));
+    let mut poll = new.accept();
+    assert!(poll.text.starts_with("GET /registry/instances HTTP"), "{}", poll.text);
+    poll.reply("200 OK", "", &list_json(3, true, &[instance_json("t1", second.address, "active")]));
+    assert!(poll.read_next().starts_with("GET /registry/instances?from=3&hold_ms=10000"));
+    let requests = second.echo_requests();
+    assert!(sidecar.request(LOOK).starts_with("HTTP/1.1 200"));
+    assert!(requests.recv().expect("an attempt").starts_with("GET /look"));
+    sidecar.stop_and_join();
 }
--- a/crates/program/tests/sidecar/embedded.rs
+++ b/crates/program/tests/sidecar/embedded.rs
@@ -1,4 +1,4 @@
-//! The parts of a sidecar on an executor that the story drives: nothing of it runs in between.
+//! The parts of a sidecar on an executor that the test drives: none of them runs in between.
 
 use crate::peers::*;
 use async_executor::LocalExecutor;
@@ -19,10 +19,11 @@
 }
 
 impl Embedded {
-    /// One with those endpoints and as many connections to them at most, each given up after that time.
+    /// Creates a sidecar with these endpoints and a maximum number of connections to them, with a
+    /// time limit for each connect.
     pub fn new(endpoints: &[String], connections: usize, connect_timeout: Duration) -> Embedded {
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
-        let text = config(nowhere, &list(1, true, endpoints), 1024);
+        let text = config_json(nowhere, &list_json(1, true, endpoints), 1024);
         let config = Config::parse(&text, |_| None).expect("a good configuration");
         let platform = config.platform;
         let executor: Executor = Rc::new(LocalExecutor::new());
@@ -42,9 +43,10 @@
         Embedded { executor, sidecar, servers, names }
     }
 
-    /// Follows discovery there, from the first version on. Its places are named by what is returned.
+    /// Follows discovery at this address, from the first version on. Later addresses of discovery
+    /// are sent to the returned channel.
     pub fn follow(&self, discovery: SocketAddr) -> async_channel::Sender<Place> {
-        let (moves, moved) = async_channel::unbounded();
+        let (address_updates, moved) = async_channel::unbounded();
         let (subscribe, subscribed) = async_channel::bounded(1);
         let watcher = Watcher {
             sidecar: self.sidecar.clone(),
@@ -55,15 +57,15 @@
             moved,
             random: fastrand::Rng::with_seed(1),
         };
-        let follows = async move {
+        let follow = async move {
             watcher.run(subscribed).await;
-            drop(subscribe); // The balancer's end, for as long as discovery is followed.
+            drop(subscribe); // Keeps the balancer's end of the channel open while discovery is followed.
         };
-        self.executor.spawn(follows).detach();
-        moves
+        self.executor.spawn(follow).detach();
+        address_updates
     }
 
-    /// Runs it until that is done.
+    /// Runs the sidecar until `until` is done.
     pub fn run<T>(&self, until: impl Future<Output = T>) -> T {
         async_io::block_on(self.executor.run(until))
     }
--- a/crates/program/tests/sidecar/endpoints.rs
+++ b/crates/program/tests/sidecar/endpoints.rs
@@ -1,5 +1,5 @@
-//! Endpoints that are late, early, endless or say more than they were asked, and what their connections are worth
-//! after that.
+//! Endpoints that are late, early, endless or send more than they should, and whether their
+//! connections are used after that.
 
 use crate::peers::*;
 use crate::repeats::*;
@@ -8,82 +8,85 @@
 use std::thread;
 use std::time::Duration;
 
-/// Guards against: a connection that comes up late given up in its time, or its request lost.
+/// Guards against abandoning a connection that is established late but in time, and against losing
+/// its request.
 #[test]
-fn a_connection_that_comes_up_late_is_waited_for_as_long_as_the_settings_say() {
-    let discovery = Peer::new();
-    let (listener, address) = narrow();
-    let config = configured(discovery.address, &[address]);
-    let sidecar = Running::start(
+fn slow_connect_is_awaited_up_to_connect_timeout() {
+    let discovery = ScriptedServer::new();
+    let (listener, address) = constrained_listener();
+    let config = config_with_endpoints(discovery.address, &[address]);
+    let sidecar = TestSidecar::start(
         &config.replace("\"connect_timeout_ns\":500000000", "\"connect_timeout_ns\":2000000000"),
     );
     let _filler = TcpStream::connect(address).expect("the last that fits");
     let mut client = sidecar.client();
     send(&mut client, LOOK);
     thread::sleep(Duration::from_millis(200));
-    let _fills = accept(&listener);
-    let mut came = accept(&listener);
-    assert!(came.next().starts_with("GET"));
-    came.reply("200 OK", "", "late");
-    assert!(message(&mut client).ends_with("late"));
-    sidecar.ends();
+    let _fills = accept_connection(&listener);
+    let mut connection = accept_connection(&listener);
+    assert!(connection.read_next().starts_with("GET"));
+    connection.reply("200 OK", "", "late");
+    assert!(read_message(&mut client).ends_with("late"));
+    sidecar.stop_and_join();
 }
 
-/// Guards against: a kept connection that closes as a request is written on it taken as proof that it never ran.
+/// Guards against taking the close of a kept connection while a request is written on it as proof
+/// that the request never ran.
 #[test]
-fn a_kept_connection_that_closes_as_a_request_comes_may_have_run_it() {
-    let discovery = Peer::new();
-    for (request, again) in [(LOOK.replace("c1", "c3"), true), (order("c4", 5), false)] {
-        let (addresses, comes) = endpoints(1);
-        let sidecar = Running::start(&unsafe_order(discovery.address, &addresses));
+fn request_on_closing_kept_connection_may_have_run() {
+    let discovery = ScriptedServer::new();
+    for (request, retried) in [(LOOK.replace("c1", "c3"), true), (order_request("c4", 5), false)] {
+        let (addresses, requests) = start_endpoints(1);
+        let sidecar = TestSidecar::start(&config_with_unsafe_orders(discovery.address, &addresses));
         let mut client = sidecar.client();
         send(&mut client, LOOK);
-        let (_, mut first) = arrival(&comes);
+        let (_, mut first) = next_request(&requests);
         first.reply("200 OK", "", "first");
-        assert!(message(&mut client).ends_with("first"));
+        assert!(read_message(&mut client).ends_with("first"));
         send(&mut client, &request);
-        first.stream.read_exact(&mut [0]).expect("it begins");
+        first.stream.read_exact(&mut [0]).expect("the request arrives");
         drop(first);
-        if again {
-            let (_, mut second) = arrival(&comes);
+        if retried {
+            let (_, mut second) = next_request(&requests);
             second.reply("200 OK", "", "second");
-            assert!(message(&mut client).ends_with("second"));
+            assert!(read_message(&mut client).ends_with("second"));
         } else {
-            let answer = message(&mut client);
-            assert!(!matches!(status(&answer), "200" | "429" | "503"), "{answer}");
-            assert!(comes.try_recv().is_err(), "sent again");
+            let answer = read_message(&mut client);
+            assert!(!matches!(status_code(&answer), "200" | "429" | "503"), "{answer}");
+            assert!(requests.try_recv().is_err(), "sent again");
         }
-        sidecar.ends();
+        sidecar.stop_and_join();
     }
 }
 
-/// Guards against: half a line on a resting connection read as the beginning of the next answer; the connection
-/// kept.
+/// Guards against reading a partial line on an idle connection as the beginning of the next answer,
+/// and against keeping that connection.
 #[test]
-fn half_a_line_on_a_resting_connection_ends_it() {
-    let (endpoint, discovery) = (Peer::new(), Peer::new());
-    let sidecar = Running::start(&configured(discovery.address, &[endpoint.address]));
+fn partial_line_on_idle_connection_closes_it() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::start(&config_with_endpoints(discovery.address, &[endpoint.address]));
     let mut client = sidecar.client();
     send(&mut client, LOOK);
     let mut first = endpoint.accept();
     first.reply("200 OK", "", "first");
-    assert!(message(&mut client).ends_with("first"));
+    assert!(read_message(&mut client).ends_with("first"));
     first.stream.write_all(b"HTTP/1.1 20").expect("it reads");
-    assert_eq!(first.next(), "", "its connection is closed");
+    assert_eq!(first.read_next(), "", "its connection is closed");
     send(&mut client, &LOOK.replace("c1", "c2"));
     let mut second = endpoint.accept();
-    // And half a line before the answer, on one in use, spoils it.
+    // A partial line before the answer, on a connection in use, makes the answer invalid.
     second.stream.write_all(b"HTTP/1.1 20").expect("it reads");
     second.reply("200 OK", "", "spoilt");
     let mut third = endpoint.accept();
     third.reply("200 OK", "", "third");
-    assert!(message(&mut client).ends_with("third"));
-    sidecar.ends();
+    assert!(read_message(&mut client).ends_with("third"));
+    sidecar.stop_and_join();
 }
 
-/// Guards against: answers without an end held for as long as the endpoint goes on, or without bound.
+/// Guards against holding an answer without an end for as long as the endpoint sends, or without
+/// bound.
 #[test]
-fn an_answer_that_never_ends_is_given_up() {
+fn endless_answer_is_abandoned() {
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let closes = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
     let endless = [
@@ -95,12 +98,13 @@
         ("", "HTTP/1.1 100 Continue\r\n\r\n"),
         ("", "\r\n"),
     ];
-    // Without a pause, or a little at a time.
-    let stories = endless.map(|(begin, more)| {
-        [None, Some(Duration::from_millis(40))].map(|pause| {
+    // Without a delay, or a little at a time.
+    let cases = endless.map(|(begin, more)| {
+        [None, Some(Duration::from_millis(40))].map(|delay| {
             thread::spawn(move || {
-                let (endpoint, discovery) = (Peer::new(), Peer::new());
-                let sidecar = Running::start(&configured(discovery.address, &[endpoint.address]));
+                let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+                let sidecar =
+                    TestSidecar::start(&config_with_endpoints(discovery.address, &[endpoint.address]));
                 let mut client = sidecar.client();
                 send(&mut client, LOOK);
                 let mut first = endpoint.accept().stream;
@@ -108,51 +112,52 @@
                     let mut text = begin;
                     while first.write_all(text.as_bytes()).is_ok() {
                         text = more;
-                        if let Some(pause) = pause {
-                            thread::sleep(pause);
+                        if let Some(delay) = delay {
+                            thread::sleep(delay);
                         }
                     }
                 });
                 writes.join().expect("its connection is closed");
                 endpoint.accept().reply("200 OK", "", "good");
-                assert!(message(&mut client).ends_with("good"), "{begin} {more}");
-                sidecar.ends();
+                assert!(read_message(&mut client).ends_with("good"), "{begin} {more}");
+                sidecar.stop_and_join();
             })
         })
     });
-    for story in stories.into_iter().flatten() {
-        story.join().expect("the story holds");
+    for case in cases.into_iter().flatten() {
+        case.join().expect("the case passes");
     }
 }
 
-/// Guards against: the longest requests and answers cut, or held back for being in pieces.
+/// Guards against truncating the longest requests and answers, or holding them back because they
+/// arrive in pieces.
 #[test]
-fn the_longest_requests_and_answers_pass_in_pieces() {
-    let discovery = Peer::new();
-    let (listener, address) = narrow();
-    let sidecar = Running::start(&unsafe_order(discovery.address, &[address]));
+fn longest_requests_and_answers_pass_in_pieces() {
+    let discovery = ScriptedServer::new();
+    let (listener, address) = constrained_listener();
+    let sidecar = TestSidecar::start(&config_with_unsafe_orders(discovery.address, &[address]));
     let mut client = sidecar.client();
     let (body, mut kept) = ("b".repeat(64 << 10), None);
     for id in ["c1", "c2"] {
-        let request = order(id, 64 << 10).replace('\n', "\r\n");
+        let request = order_request(id, 64 << 10).replace('\n', "\r\n");
         let (mut writes, pieces) = (client.try_clone().expect("a socket"), request.clone());
         let sends = thread::spawn(move || {
             for piece in pieces.as_bytes().chunks(9000) {
                 writes.write_all(piece).expect("it reads");
             }
         });
-        let mut came = kept.take().unwrap_or_else(|| accept(&listener));
-        assert!(came.next().ends_with(&"p".repeat(64 << 10)));
+        let mut connection = kept.take().unwrap_or_else(|| accept_connection(&listener));
+        assert!(connection.read_next().ends_with(&"p".repeat(64 << 10)));
         sends.join().expect("it was read");
         let answer = format!(
             "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             64 << 10
         );
         for piece in answer.as_bytes().chunks(7) {
-            came.stream.write_all(piece).expect("it reads");
+            connection.stream.write_all(piece).expect("it reads");
         }
-        assert!(message(&mut client).ends_with(&format!("\n\n{body}")));
-        kept = Some(came);
+        assert!(read_message(&mut client).ends_with(&format!("\n\n{body}")));
+        kept = Some(connection);
     }
-    sidecar.ends();
+    sidecar.stop_and_join();
 }
--- a/crates/program/tests/sidecar/forwards.rs
+++ b/crates/program/tests/sidecar/forwards.rs
@@ -1,15 +1,19 @@
-//! Forwards to targets: what passes, what comes back, and what a connection to a target is worth after it.
+//! Attempts at endpoints: what is sent, what is returned, and whether the connection is used after
+//! that.
 
 use crate::peers::*;
 use insta::assert_snapshot;
 use std::io::Write;
 use std::net::Shutdown;
 
-/// A message without the figure that differs from run to run.
-fn steady(text: &str) -> String {
+/// A message without the number that differs from run to run.
+fn without_time_left(text: &str) -> String {
     let lines = text.lines().map(|l| match l.split_once("X-Time-Left-Ms: ") {
         Some((before, ms)) => {
-            assert!((1..=1000).contains(&ms.parse().expect("whole milliseconds")), "until the aim: {ms}");
+            assert!(
+                (1..=1000).contains(&ms.parse().expect("whole milliseconds")),
+                "until the latency target: {ms}"
+            );
             format!("{before}X-Time-Left-Ms: (left)")
         }
         None => l.to_owned(),
@@ -17,15 +21,15 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// Guards against: anything of a request changed on its way, or its answer.
+/// Guards against changes to a request or its answer on the way.
 #[test]
 fn requests_and_answers_pass_unchanged() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let sidecar = Running::knowing(&[target.address], &discovery);
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
     let mut client = sidecar.client();
     send(&mut client, ORDER);
-    let mut came = target.accept();
-    assert_snapshot!(steady(&came.text), @r"
+    let mut connection = endpoint.accept();
+    assert_snapshot!(without_time_left(&connection.text), @r"
     POST /order HTTP/1.1
     Host: service.internal
     X-Correlation-Id: c2
@@ -36,16 +40,16 @@
 
     paper
     ");
-    came.reply("200 OK", "X-Backend-Load: throughput=zero,utilization=\r\n", "{\"sheets\": 3}\n");
-    assert_snapshot!(message(&mut client), @r#"
+    connection.reply("200 OK", "X-Backend-Load: throughput=zero,utilization=\r\n", "{\"sheets\": 3}\n");
+    assert_snapshot!(read_message(&mut client), @r#"
     HTTP/1.1 200 OK
     Content-Length: 14
 
     {"sheets": 3}
     "#);
-    // The same connections serve the next request, on both sides.
+    // The next request uses the same connections, on both sides.
     send(&mut client, LOOK);
-    assert_snapshot!(steady(came.next()), @r"
+    assert_snapshot!(without_time_left(connection.read_next()), @r"
     GET /look/7?size=2 HTTP/1.1
     Host: service.internal
     X-Correlation-Id: c1
@@ -53,74 +57,78 @@
     X-Account: north
     X-Time-Left-Ms: (left)
     ");
-    came.stream
+    connection
+        .stream
         .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
         .unwrap();
-    assert!(message(&mut client).ends_with("\n\nabc"));
-    sidecar.ends();
+    assert!(read_message(&mut client).ends_with("\n\nabc"));
+    sidecar.stop_and_join();
 }
 
-/// Guards against: a target's 503 passed on, which would promise the client that nothing ran.
+/// Guards against passing on an endpoint's 503, which would promise the client that nothing was
+/// executed.
 #[test]
-fn a_targets_503_proves_nothing_but_an_unprocessed_one_does() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let sidecar = Running::knowing(&[target.address], &discovery);
+fn endpoint_503_is_an_error_unless_marked_unprocessed() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
     let mut client = sidecar.client();
     send(&mut client, LOOK);
-    let mut came = target.accept();
-    came.reply("503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
-    // Turned away, it is paused; a second try comes once it is not, and its bare 503 is an error.
-    came.next();
-    came.reply("503 Service Unavailable", "", "busy");
-    came.next();
-    came.reply("200 OK", "", "third");
-    assert!(message(&mut client).ends_with("third"));
-    sidecar.ends();
+    let mut connection = endpoint.accept();
+    connection.reply("503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
+    // The rejection puts the endpoint in backoff; a second attempt follows after that, and its bare
+    // 503 is an error.
+    connection.read_next();
+    connection.reply("503 Service Unavailable", "", "busy");
+    connection.read_next();
+    connection.reply("200 OK", "", "third");
+    assert!(read_message(&mut client).ends_with("third"));
+    sidecar.stop_and_join();
 }
 
-/// Guards against: a request re-sent unasked when its connection dies under it, and lost with it.
+/// Guards against sending a request again without a decision of the balancer when its connection
+/// breaks, and against losing it.
 #[test]
-fn a_reset_is_one_forward_and_the_balancer_decides_on_the_next() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let sidecar = Running::knowing(&[target.address], &discovery);
+fn reset_ends_one_attempt_and_balancer_decides_on_the_next() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
     let mut client = sidecar.client();
     send(&mut client, ORDER);
-    drop(target.accept());
-    let mut second = target.accept();
+    drop(endpoint.accept());
+    let mut second = endpoint.accept();
     assert!(second.text.contains("Idempotency-Key: k2"));
     second.reply("200 OK", "", "done");
-    assert!(message(&mut client).ends_with("done"));
-    sidecar.ends();
+    assert!(read_message(&mut client).ends_with("done"));
+    sidecar.stop_and_join();
 }
 
-/// Guards against: a kept connection used although the target has closed it.
+/// Guards against using a kept connection that the endpoint has closed.
 #[test]
-fn a_kept_connection_that_was_closed_is_not_used() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let sidecar = Running::knowing(&[target.address], &discovery);
+fn closed_kept_connection_is_not_used() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
     let mut client = sidecar.client();
     for _ in 0..3 {
         send(&mut client, LOOK);
-        let mut came = target.accept();
-        came.reply("200 OK", "", "ok");
-        // Closed before the answer is read: the next request must not meet it.
-        came.stream.shutdown(Shutdown::Both).unwrap();
-        assert!(message(&mut client).starts_with("HTTP/1.1 200"));
+        let mut connection = endpoint.accept();
+        connection.reply("200 OK", "", "ok");
+        // Closed before the answer is read: the next request must not be sent on it.
+        connection.stream.shutdown(Shutdown::Both).unwrap();
+        assert!(read_message(&mut client).starts_with("HTTP/1.1 200"));
     }
-    sidecar.ends();
+    sidecar.stop_and_join();
 }
 
-/// Guards against: a flow that the balancer has given up on held back until its deadline, with no word of
-/// when to come back.
+/// Guards against holding a request that the balancer has given up until its deadline, and against
+/// a refusal without a Retry-After.
 #[test]
-fn a_flow_without_an_answer_in_time_is_refused_with_advice() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let sidecar = Running::knowing(&[target.address], &discovery);
-    let begun = std::time::Instant::now();
+fn request_without_answer_in_time_is_refused_with_retry_after() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
+    let start = std::time::Instant::now();
     let mut client = sidecar.client();
     send(&mut client, LOOK);
-    let came = target.accept();
-    assert_snapshot!(message(&mut client), @r"
+    let connection = endpoint.accept();
+    assert_snapshot!(read_message(&mut client), @r"
     HTTP/1.1 503 Service Unavailable
     Content-Type: text/plain
     Retry-After: 2.000
@@ -128,50 +136,53 @@
 
     refused
     ");
-    assert!(begun.elapsed().as_millis() < 2000, "at its aim of 1 s, not near its deadline of 3 s");
-    drop(came);
-    sidecar.ends();
+    assert!(
+        start.elapsed().as_millis() < 2000,
+        "at its latency target of 1 s, not near its deadline of 3 s"
+    );
+    drop(connection);
+    sidecar.stop_and_join();
 }
 
-/// Guards against: a machine that is cut off costing a whole time-out on each connection kept to it.
+/// Guards against a whole timeout on each connection kept to a machine that is cut off.
 #[test]
-fn connections_to_a_silent_target_are_not_kept() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let sidecar = Running::knowing(&[target.address], &discovery);
+fn connections_to_silent_endpoint_are_not_kept() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
     let mut clients: Vec<_> = (0..3).map(|_| sidecar.client()).collect();
-    let mut came = Vec::new();
-    let look = |i: usize| LOOK.replace("c1", &format!("c{i}"));
+    let mut connections = Vec::new();
+    let look_request = |i: usize| LOOK.replace("c1", &format!("c{i}"));
     for (i, client) in clients.iter_mut().enumerate() {
-        send(client, &look(i));
-        came.push(target.accept());
+        send(client, &look_request(i));
+        connections.push(endpoint.accept());
     }
-    for (came, client) in came.iter_mut().zip(&mut clients) {
-        came.reply("200 OK", "", "ok");
-        assert!(message(client).starts_with("HTTP/1.1 200"));
+    for (connection, client) in connections.iter_mut().zip(&mut clients) {
+        connection.reply("200 OK", "", "ok");
+        assert!(read_message(client).starts_with("HTTP/1.1 200"));
     }
-    // The most recently used ones are used first, once they have rested; two forwards time out, and the third
-    // connection goes.
+    // The most recently used connections are used first, once they have been idle for a moment; two
+    // attempts time out, and the third connection is closed.
     std::thread::sleep(std::time::Duration::from_millis(25));
     for (i, client) in clients[..2].iter_mut().enumerate() {
-        send(client, &look(i));
+        send(client, &look_request(i));
     }
-    let [first, second, third] = &mut came[..] else { unreachable!() };
-    assert!(third.next().starts_with("GET"));
-    assert!(second.next().starts_with("GET"));
-    assert_eq!(first.next(), "");
+    let [first, second, third] = &mut connections[..] else { unreachable!() };
+    assert!(third.read_next().starts_with("GET"));
+    assert!(second.read_next().starts_with("GET"));
+    assert_eq!(first.read_next(), "");
     for client in &mut clients[..2] {
-        assert!(message(client).starts_with("HTTP/1.1 503"));
+        assert!(read_message(client).starts_with("HTTP/1.1 503"));
     }
-    sidecar.ends();
+    sidecar.stop_and_join();
 }
 
-/// Guards against: spoilt answers passed on, waited out, or taken for a break of the connection's machine; and
-/// their connections used again.
+/// Guards against passing on an invalid answer, waiting it out, taking it for a failure of the
+/// endpoint's machine, or using its connection again.
 #[test]
-fn a_spoilt_answer_is_a_failed_forward_and_ends_its_connection() {
+fn malformed_answer_fails_attempt_and_closes_connection() {
     let endless_head = format!("HTTP/1.1 200 OK\r\n{}", "X-Pad: p\r\n".repeat(3000));
     let interim = "HTTP/1.1 102 Processing\r\n\r\n".repeat(40);
-    let spoilt = [
+    let invalid = [
         "\u{7f}noise",
         "HTTP/1.1 2OO OK\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 0\r\n\r\n",
@@ -184,59 +195,61 @@
         &endless_head,
         &interim,
     ];
-    // Few at a time: the balancer grants a fresh sidecar four further forwards.
-    for spoilt in spoilt.chunks(4) {
-        let (target, discovery) = (Peer::new(), Peer::new());
-        let sidecar = Running::knowing(&[target.address], &discovery);
-        for spoilt in spoilt {
+    // Few at a time: the balancer grants a sidecar that has just started four retries.
+    for invalid in invalid.chunks(4) {
+        let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+        let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
+        for invalid in invalid {
             let mut client = sidecar.client();
             send(&mut client, LOOK);
-            let mut came = target.accept();
-            came.stream.write_all(spoilt.as_bytes()).unwrap();
-            assert_eq!(came.next(), "", "closed at once: {spoilt:.40}");
-            let mut second = target.accept();
+            let mut connection = endpoint.accept();
+            connection.stream.write_all(invalid.as_bytes()).unwrap();
+            assert_eq!(connection.read_next(), "", "closed at once: {invalid:.40}");
+            let mut second = endpoint.accept();
             second.reply("200 OK", "Connection: close\r\n", "good");
-            assert!(message(&mut client).ends_with("good"));
+            assert!(read_message(&mut client).ends_with("good"));
         }
-        sidecar.ends();
+        sidecar.stop_and_join();
     }
 }
 
-/// Guards against: what comes behind a good answer taken for the next request's.
+/// Guards against taking bytes after a complete answer for the answer to the next request.
 #[test]
-fn more_than_belongs_to_an_answer_is_never_used() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let sidecar = Running::knowing(&[target.address], &discovery);
+fn bytes_after_an_answer_are_never_used() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
     let mut client = sidecar.client();
     let good = "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood";
     for more in ["HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood", "noise"] {
         send(&mut client, LOOK);
-        let mut came = target.accept();
-        came.stream.write_all(format!("{good}{more}").as_bytes()).unwrap();
-        assert!(message(&mut client).ends_with("good"));
-        assert_eq!(came.next(), "", "its connection is closed");
+        let mut connection = endpoint.accept();
+        connection.stream.write_all(format!("{good}{more}").as_bytes()).unwrap();
+        assert!(read_message(&mut client).ends_with("good"));
+        assert_eq!(connection.read_next(), "", "its connection is closed");
     }
-    sidecar.ends();
+    sidecar.stop_and_join();
 }
 
-/// Guards against: connections kept to a target that left while it had a forward; its address may pass to another.
+/// Guards against keeping connections to an endpoint that was removed during an attempt; its
+/// address may pass to another.
 #[test]
-fn a_connection_to_a_target_that_has_left_is_not_kept() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let sidecar = Running::knowing(&[target.address], &discovery);
+fn connection_to_removed_endpoint_is_not_kept() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
     let mut watch = discovery.accept();
     let mut client = sidecar.client();
     send(&mut client, LOOK);
-    let mut came = target.accept();
-    // The address passes to another id, which must be met on a connection of its own.
-    let lines = [line("t0", target.address, "left"), line("t1", target.address, "active")];
-    watch.reply("200 OK", "", &list(2, false, &lines));
-    watch.next();
-    came.reply("200 OK", "", "last");
-    assert!(message(&mut client).ends_with("last"));
-    assert_eq!(came.next(), "", "its connection is closed");
+    let mut connection = endpoint.accept();
+    // The address passes to another ID, which must get a connection of its own.
+    let lines =
+        [instance_json("t0", endpoint.address, "left"), instance_json("t1", endpoint.address, "active")];
+    watch.reply("200 OK", "", &list_json(2, false, &lines));
+    watch.read_next();
+    connection.reply("200 OK", "", "last");
+    assert!(read_message(&mut client).ends_with("last"));
+    assert_eq!(connection.read_next(), "", "its connection is closed");
     send(&mut client, LOOK);
-    target.accept().reply("200 OK", "", "first");
-    assert!(message(&mut client).ends_with("first"));
-    sidecar.ends();
+    endpoint.accept().reply("200 OK", "", "first");
+    assert!(read_message(&mut client).ends_with("first"));
+    sidecar.stop_and_join();
 }
--- a/crates/program/tests/sidecar/gone.rs
+++ b/crates/program/tests/sidecar/gone.rs
@@ -1,9 +1,10 @@
-//! Clients that have left: whatever else comes in that moment, nothing is begun for them. The sidecar is a process of
-//! its own that is held still (SIGSTOP) while the close and the word to send both arrive, the latter first.
+//! Clients that have disconnected: whatever else arrives at that moment, no attempt is made for
+//! them. The sidecar is a process of its own that is suspended (SIGSTOP) while the close and the
+//! event that releases the request both arrive, the latter first.
 
 use crate::peers::*;
-use crate::program::{Program, patient};
-use crate::repeats::{narrow, reset};
+use crate::program::{Program, with_long_timeouts};
+use crate::repeats::{constrained_listener, reset_connection};
 use std::io::Write;
 use std::net::TcpStream;
 use std::sync::mpsc::channel;
@@ -11,121 +12,136 @@
 
 const MARKER: &str = "GET /look/marker HTTP/1.1\nHost: n0\nX-Correlation-Id: marker\n\n";
 
-/// Clients that wait for a target and leave in the moment in which the list names one.
-fn leave_as_requests_are_released(count: usize, behind: &[u8], leave: fn(TcpStream)) {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let known = list(1, true, &[line("t1", target.address, "leaving")]);
-    let sidecar = Program::start(&patient(&config(discovery.address, &known, 1024)), 1024);
-    let mut call = discovery.accept();
+/// Clients that wait for an endpoint and disconnect at the moment at which the list names one.
+fn disconnect_as_requests_are_released(count: usize, trailing_bytes: &[u8], disconnect: fn(TcpStream)) {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let known = list_json(1, true, &[instance_json("t1", endpoint.address, "leaving")]);
+    let sidecar = Program::start(&with_long_timeouts(&config_json(discovery.address, &known, 1024)), 1024);
+    let mut poll = discovery.accept();
     let clients = (0..count).map(|i| sidecar.client(&LOOK.replace("c1", &format!("gone{i}"))));
     let mut clients: Vec<_> = clients.collect();
     for client in &mut clients {
-        client.write_all(behind).expect("it reads, or the system holds it");
+        client.write_all(trailing_bytes).expect("it reads, or the system holds it");
     }
-    sidecar.has_taken();
-    sidecar.meanwhile(|| {
-        call.reply("200 OK", "", &list(2, false, &[line("t0", target.address, "active")]));
-        clients.into_iter().for_each(leave);
+    sidecar.wait_until_input_is_processed();
+    sidecar.while_suspended(|| {
+        poll.reply("200 OK", "", &list_json(2, false, &[instance_json("t0", endpoint.address, "active")]));
+        clients.into_iter().for_each(disconnect);
     });
-    call.next();
+    poll.read_next();
     let _marker = sidecar.client(MARKER);
     loop {
-        let came = target.accept();
-        assert!(!came.text.contains("gone"), "sent on for a client that has left: {}", came.text);
-        if came.text.contains("marker") {
+        let connection = endpoint.accept();
+        assert!(
+            !connection.text.contains("gone"),
+            "sent for a client that has disconnected: {}",
+            connection.text
+        );
+        if connection.text.contains("marker") {
             return;
         }
     }
 }
 
-/// Guards against: requests begun for clients whose close comes in the same turn as the release of their requests,
-/// several hundred at once.
+/// Guards against attempts for clients whose close arrives in the same turn as the release of their
+/// requests, several hundred at once.
 #[test]
-fn several_hundred_that_leave_as_they_are_released_get_nothing_begun() {
-    leave_as_requests_are_released(300, b"", drop);
+fn no_attempt_for_hundreds_of_clients_that_disconnect_on_release() {
+    disconnect_as_requests_are_released(300, b"", drop);
 }
 
-/// Guards against: a reset that does not count as a close, and a close behind half of the next request.
+/// Guards against missing a close that is a reset, and a close after a partial next request.
 #[test]
-fn a_reset_and_a_close_behind_half_a_request_are_seen_as_well() {
-    leave_as_requests_are_released(3, b"", reset);
-    leave_as_requests_are_released(3, b"GET /look/8 HTTP/1.1\r\nX-", drop);
+fn reset_and_close_after_partial_request_are_detected() {
+    disconnect_as_requests_are_released(3, b"", reset_connection);
+    disconnect_as_requests_are_released(3, b"GET /look/8 HTTP/1.1\r\nX-", drop);
 }
 
-/// Guards against: a close that is never seen because more than one buffer of bytes lies unread before it (nothing was
-/// read from 64 KiB on), so that the attempt goes on until its aim of 2.9 s.
+/// Guards against a close that is never detected because more than one buffer of unread bytes
+/// precedes it (nothing was read beyond 64 KiB), so that the attempt continues until its latency
+/// target of 2.9 s.
 #[test]
-fn a_close_behind_more_than_a_buffer_is_seen() {
-    for leave in [drop, reset] {
-        let (target, discovery) = (Peer::new(), Peer::new());
-        let known = list(1, true, &[line("t0", target.address, "active")]);
-        let sidecar = Program::start(&patient(&config(discovery.address, &known, 1024)), 1024);
+fn close_after_more_than_a_buffer_is_detected() {
+    for disconnect in [drop, reset_connection] {
+        let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+        let known = list_json(1, true, &[instance_json("t0", endpoint.address, "active")]);
+        let sidecar =
+            Program::start(&with_long_timeouts(&config_json(discovery.address, &known, 1024)), 1024);
         let mut client = sidecar.client(LOOK);
-        let mut came = target.accept();
-        let begun = Instant::now();
+        let mut connection = endpoint.accept();
+        let start = Instant::now();
         client.write_all(&[b'x'; 200 << 10]).expect("it reads on");
-        leave(client);
-        assert_eq!(came.next(), "", "its connection is closed");
-        assert!(begun.elapsed() < Duration::from_secs(2), "at its close, not at its aim");
+        disconnect(client);
+        assert_eq!(connection.read_next(), "", "its connection is closed");
+        assert!(start.elapsed() < Duration::from_secs(2), "at its close, not at its latency target");
     }
 }
 
-/// Guards against: a further attempt begun for a client that leaves as the one before breaks (the stages of a request
-/// were asked before its client's connection was), and a kept connection closed on which nothing went out.
+/// Guards against a second attempt for a client that disconnects as the first one breaks (the state
+/// of the request was checked before its client's connection), and against closing a kept
+/// connection on which nothing was sent.
 #[test]
-fn a_client_that_leaves_between_two_attempts_gets_no_second() {
-    let (targets, discovery) = ([Peer::new(), Peer::new()], Peer::new());
-    let lines = [0, 1].map(|i| line(&format!("t{i}"), targets[i].address, "active"));
-    let sidecar = Program::start(&patient(&config(discovery.address, &list(1, true, &lines), 1024)), 1024);
-    // One connection to each is kept.
+fn no_second_attempt_for_disconnected_client() {
+    let (endpoints, discovery) = ([ScriptedServer::new(), ScriptedServer::new()], ScriptedServer::new());
+    let lines = [0, 1].map(|i| instance_json(&format!("t{i}"), endpoints[i].address, "active"));
+    let sidecar = Program::start(
+        &with_long_timeouts(&config_json(discovery.address, &list_json(1, true, &lines), 1024)),
+        1024,
+    );
+    // One connection to each endpoint is kept.
     let clients = [0, 1].map(|i| sidecar.client(&LOOK.replace("c1", &format!("first{i}"))));
-    let mut came = targets.map(|target| target.accept());
-    came.iter_mut().for_each(|came| came.reply("200 OK", "", "ok"));
+    let mut connections = endpoints.map(|endpoint| endpoint.accept());
+    connections.iter_mut().for_each(|connection| connection.reply("200 OK", "", "ok"));
     for mut client in clients {
-        assert!(message(&mut client).starts_with("HTTP/1.1 200"));
+        assert!(read_message(&mut client).starts_with("HTTP/1.1 200"));
     }
-    let (seen, sees) = channel();
-    for mut came in came {
-        let seen = seen.clone();
+    let (attempts, received) = channel();
+    for mut connection in connections {
+        let attempts = attempts.clone();
         std::thread::spawn(move || {
-            came.next();
-            seen.send(came)
+            connection.read_next();
+            attempts.send(connection)
         });
     }
     let client = sidecar.client(&LOOK.replace("c1", "gone"));
-    let first = sees.recv().expect("an attempt");
+    let first = received.recv().expect("an attempt");
     assert!(first.text.contains("gone"));
-    sidecar.meanwhile(|| {
-        reset(first.stream);
+    sidecar.while_suspended(|| {
+        reset_connection(first.stream);
         drop(client);
     });
-    sidecar.has_taken();
+    sidecar.wait_until_input_is_processed();
     let _marker = sidecar.client(MARKER);
-    let next = sees.recv().expect("an attempt");
-    assert!(next.text.contains("marker"), "sent on for a client that has left: {}", next.text);
+    let next = received.recv().expect("an attempt");
+    assert!(next.text.contains("marker"), "sent for a client that has disconnected: {}", next.text);
 }
 
-/// Guards against: an attempt begun for a client that leaves as its connection comes up.
+/// Guards against an attempt for a client that disconnects while the connection to the endpoint is
+/// established.
 #[test]
-fn a_client_that_leaves_as_the_connection_comes_up_gets_nothing_begun() {
-    let discovery = Peer::new();
-    let (target, address) = narrow();
-    // Its queue is full, so that whoever connects now waits for the next try, a second later.
+fn no_attempt_for_client_that_disconnects_during_connect() {
+    let discovery = ScriptedServer::new();
+    let (endpoint, address) = constrained_listener();
+    // The listener's queue is full, so a new connection waits for the next SYN, a second later.
     let queued = TcpStream::connect(address).expect("room for one");
     let sidecar = Program::start(
-        &patient(&config(discovery.address, &list(1, true, &[line("t0", address, "active")]), 1024)),
+        &with_long_timeouts(&config_json(
+            discovery.address,
+            &list_json(1, true, &[instance_json("t0", address, "active")]),
+            1024,
+        )),
         1024,
     );
     let client = sidecar.client(LOOK);
-    sidecar.has_taken();
-    let mut came = sidecar.meanwhile(|| {
-        let (_, from) = target.accept().expect("a connection");
+    sidecar.wait_until_input_is_processed();
+    let mut connection = sidecar.while_suspended(|| {
+        let (_, from) = endpoint.accept().expect("a connection");
         assert_eq!(Some(from), queued.local_addr().ok());
-        let (came, _) = target.accept().expect("the sidecar tries again");
+        let (connection, _) = endpoint.accept().expect("the sidecar tries again");
         drop(client);
-        came
+        connection
     });
-    sidecar.has_taken();
+    sidecar.wait_until_input_is_processed();
     drop(sidecar);
-    assert_eq!(message(&mut came), "", "sent on for a client that has left");
+    assert_eq!(read_message(&mut connection), "", "sent for a client that has disconnected");
 }
--- a/crates/program/tests/sidecar/late.rs
+++ b/crates/program/tests/sidecar/late.rs
@@ -1,86 +1,92 @@
-//! What comes too late or too early: bytes before a request's last one, second answers, connections after a window.
+//! Events that are too late or too early: bytes before a request's last one, second answers,
+//! connections after a window.
 
 use crate::peers::*;
-use crate::program::{Program, patient};
+use crate::program::{Program, with_long_timeouts};
 use crate::repeats::*;
 use std::net::TcpStream;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// So late a second answer comes, at most: some milliseconds, as the page has it.
-const SOME_MS: Duration = Duration::from_millis(8);
+/// The longest delay of a second answer: some milliseconds, according to the protocol
+/// specification.
+const SECOND_ANSWER_DELAY: Duration = Duration::from_millis(8);
 
-/// Guards against: a repeat sent in its window whose connection comes up after it, and is written to all the same.
+/// Guards against writing a retry, started within its window, on a connection that is established
+/// after the window.
 #[test]
-fn a_repeat_whose_connection_comes_up_after_its_window_is_not_written() {
-    let discovery = Peer::new();
-    let (listener, address) = narrow();
-    let config = configured(discovery.address, &[address]);
+fn retry_connected_after_its_window_is_not_written() {
+    let discovery = ScriptedServer::new();
+    let (listener, address) = constrained_listener();
+    let config = config_with_endpoints(discovery.address, &[address]);
     let config = config.replace("10000000000", "800000000");
     let config = config.replace("\"connect_timeout_ns\":500000000", "\"connect_timeout_ns\":2000000000");
     let sidecar = Program::start(&config, 1024);
     let mut client = sidecar.client(ORDER);
-    let mut first = accept(&listener).stream;
-    let begun = Instant::now();
-    assert!(message(&mut first).starts_with("POST"));
-    // The next connection finds no room until the window is over.
+    let mut first = accept_connection(&listener).stream;
+    let start = Instant::now();
+    assert!(read_message(&mut first).starts_with("POST"));
+    // The next connection finds no room in the queue until the window is over.
     let filler = TcpStream::connect(address).expect("the last that fits");
-    reset(first);
-    thread::sleep((begun + Duration::from_millis(810)).saturating_duration_since(Instant::now()));
-    let _fills = accept(&listener);
-    let answer = message(&mut client);
-    assert!(status(&answer).starts_with('5'), "{answer}");
+    reset_connection(first);
+    thread::sleep((start + Duration::from_millis(810)).saturating_duration_since(Instant::now()));
+    let _fills = accept_connection(&listener);
+    let answer = read_message(&mut client);
+    assert!(status_code(&answer).starts_with('5'), "{answer}");
     drop(filler);
     listener.set_nonblocking(true).expect("a socket");
     let second = listener.accept();
     drop(sidecar);
     if let Ok((mut second, _)) = second {
         second.set_nonblocking(false).expect("a socket");
-        assert_eq!(message(&mut second), "", "written after its window");
+        assert_eq!(read_message(&mut second), "", "written after its window");
     }
 }
 
-/// Guards against: the second answer to a request, some milliseconds late, given to the client whose request went
-/// out next on that connection: none goes out there before it would have come, whereupon the connection is closed.
+/// Guards against giving the second answer to a request, some milliseconds late, to the client
+/// whose request was sent next on that connection: nothing is sent there before that answer would
+/// have arrived, and if it arrives the connection is closed.
 #[test]
-fn a_second_answer_some_milliseconds_late_is_nobodys() {
-    let (endpoint, discovery) = (Peer::new(), Peer::new());
-    let sidecar = Running::knowing(&[endpoint.address], &discovery);
+fn late_second_answer_reaches_no_client() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
     let mut client = sidecar.client();
     send(&mut client, LOOK);
     let mut first = endpoint.accept();
     let answered = Instant::now();
     first.reply("200 OK", "", "first");
-    assert!(message(&mut client).ends_with("first"));
+    assert!(read_message(&mut client).ends_with("first"));
     send(&mut client, &LOOK.replace("c1", "c2"));
-    assert!(first.next().starts_with("GET"));
-    assert!(answered.elapsed() > SOME_MS, "after {:?}", answered.elapsed());
+    assert!(first.read_next().starts_with("GET"));
+    assert!(answered.elapsed() > SECOND_ANSWER_DELAY, "after {:?}", answered.elapsed());
     first.reply("200 OK", "", "second");
     first.reply("200 OK", "", "second");
-    assert!(message(&mut client).ends_with("second"));
-    assert_eq!(first.next(), "", "its connection is closed");
-    sidecar.ends();
+    assert!(read_message(&mut client).ends_with("second"));
+    assert_eq!(first.read_next(), "", "its connection is closed");
+    sidecar.stop_and_join();
 }
 
-/// Guards against: an unsafe request given up where its connection broke before anything was written on it.
+/// Guards against giving up an unsafe request whose connection broke before anything was written on
+/// it.
 #[test]
-fn an_unsafe_request_goes_out_again_where_its_connection_breaks_as_it_comes_up() {
-    let discovery = Peer::new();
-    let (listener, address) = narrow();
+fn unsafe_request_is_retried_if_connection_breaks_before_write() {
+    let discovery = ScriptedServer::new();
+    let (listener, address) = constrained_listener();
     let filler = TcpStream::connect(address).expect("the last that fits");
-    let config = patient(&unsafe_order(discovery.address, &[address]));
-    // It is held still for longer than it may be without asking by the other stories' settings: its list would expire.
+    let config = with_long_timeouts(&config_with_unsafe_orders(discovery.address, &[address]));
+    // The process is suspended for longer than it may go without a poll by the other tests'
+    // settings: its list would expire.
     let config = config.replace("\"ask_within_ns\":400000000", "\"ask_within_ns\":10000000000");
     let sidecar = Program::start(&config, 1024);
-    let mut client = sidecar.client(&order("c2", 5));
-    sidecar.has_taken();
-    sidecar.meanwhile(|| {
-        accept(&listener);
-        reset(accept(&listener).stream);
+    let mut client = sidecar.client(&order_request("c2", 5));
+    sidecar.wait_until_input_is_processed();
+    sidecar.while_suspended(|| {
+        accept_connection(&listener);
+        reset_connection(accept_connection(&listener).stream);
     });
     drop(filler);
-    let mut second = accept(&listener);
-    assert!(second.next().starts_with("POST"));
+    let mut second = accept_connection(&listener);
+    assert!(second.read_next().starts_with("POST"));
     second.reply("200 OK", "", "done");
-    assert!(message(&mut client).ends_with("done"));
+    assert!(read_message(&mut client).ends_with("done"));
 }
--- a/crates/program/tests/sidecar/life.rs
+++ b/crates/program/tests/sidecar/life.rs
@@ -1,60 +1,64 @@
-//! A process's life: ready once it has a list, and the word to stop.
+//! The life cycle of a process: ready once it has a list, and the stop.
 
 use crate::peers::*;
-use crate::program::make_pipe;
+use crate::program::create_pipe;
 use cottonpoint::serve::PidFile;
 use insta::assert_snapshot;
 use std::path::Path;
 
-/// Guards against: a sidecar that starts without a list and never asks for one (the balancer's first timer was
-/// set only with its first event), readiness before the list is there, and answers lost at a planned stop.
+/// Guards against a sidecar that starts without a list and never requests one (the balancer's first
+/// timer was set only with its first event), readiness before the list is there, and answers lost
+/// in a planned stop.
 #[test]
-fn it_is_ready_once_it_has_a_list_and_until_it_is_told_to_stop() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let sidecar = Running::start(&config(discovery.address, "null", 1024));
+fn sidecar_is_ready_from_first_list_until_stop() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::start(&config_json(discovery.address, "null", 1024));
     let ready = "GET /health/ready HTTP/1.1\nHost: n0\n\n";
-    assert!(sidecar.ask(ready).starts_with("HTTP/1.1 503"));
-    let mut call = discovery.accept();
-    assert_snapshot!(call.text.lines().next().unwrap(), @"GET /registry/instances HTTP/1.1");
-    call.reply("200 OK", "", &list(1, true, &[line("t0", target.address, "active")]));
-    call.next();
-    assert!(sidecar.ask(ready).starts_with("HTTP/1.1 200"));
+    assert!(sidecar.request(ready).starts_with("HTTP/1.1 503"));
+    let mut poll = discovery.accept();
+    assert_snapshot!(poll.text.lines().next().unwrap(), @"GET /registry/instances HTTP/1.1");
+    poll.reply("200 OK", "", &list_json(1, true, &[instance_json("t0", endpoint.address, "active")]));
+    poll.read_next();
+    assert!(sidecar.request(ready).starts_with("HTTP/1.1 200"));
 
-    // What it has taken is answered after the word to stop, and so is what comes right after it.
+    // Requests accepted before the stop event are answered, and so are those that arrive right
+    // after it.
     let mut client = sidecar.client();
     send(&mut client, LOOK);
-    let mut came = target.accept();
+    let mut connection = endpoint.accept();
     sidecar.stop();
-    while !sidecar.ask(ready).starts_with("HTTP/1.1 503") {}
+    while !sidecar.request(ready).starts_with("HTTP/1.1 503") {}
     let mut late = sidecar.client();
     send(&mut late, ORDER);
-    let mut second = target.accept();
+    let mut second = endpoint.accept();
     second.reply("200 OK", "", "late");
-    assert!(message(&mut late).ends_with("late"));
-    // Nobody else may be there for the clients: what they keep is served on.
+    assert!(read_message(&mut late).ends_with("late"));
+    // There may be no other process for the clients: kept connections are still served.
     send(&mut late, ORDER);
-    assert!(second.next().starts_with("POST"));
+    assert!(second.read_next().starts_with("POST"));
     second.reply("200 OK", "", "later");
-    assert!(message(&mut late).ends_with("later"));
-    came.reply("200 OK", "", "early");
-    assert!(message(&mut client).ends_with("early"));
-    // In time they are given back: idle connections are closed, and it ends.
-    assert_eq!(message(&mut client) + &message(&mut late), "");
-    sidecar.ends();
+    assert!(read_message(&mut late).ends_with("later"));
+    connection.reply("200 OK", "", "early");
+    assert!(read_message(&mut client).ends_with("early"));
+    // After a while the clients are released: idle connections are closed, and the process ends.
+    assert_eq!(read_message(&mut client) + &read_message(&mut late), "");
+    sidecar.stop_and_join();
 }
 
-/// Guards against: clients who wait while the disk takes its time over the announcement of a new process (soak: processes
-/// started beside a busy disk answered nobody for seconds). The disk is a pipe that nobody reads.
+/// Guards against clients that wait while a slow disk delays the announcement of a new process (in
+/// a soak, processes started beside a busy disk answered nobody for seconds). The disk is a pipe
+/// without a reader.
 #[test]
-fn a_disk_that_hangs_at_the_start_holds_up_no_client() {
+fn hung_disk_at_start_does_not_delay_clients() {
     let state = tempfile::tempdir().expect("a directory");
     let announcement = Path::new(PidFile::FILE_NAME).with_extension(format!("{}.new", std::process::id()));
-    make_pipe(&state.path().join(announcement));
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let known = list(1, true, &[line("t0", target.address, "active")]);
-    let (sidecar, _) = Running::with_console(&config(discovery.address, &known, 1024), Some(state.path()));
-    let seen = target.echo();
-    assert!(sidecar.ask(LOOK).starts_with("HTTP/1.1 200"));
-    assert!(seen.recv().expect("a forward").starts_with("GET /look"));
-    sidecar.ends();
+    create_pipe(&state.path().join(announcement));
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let known = list_json(1, true, &[instance_json("t0", endpoint.address, "active")]);
+    let (sidecar, _) =
+        TestSidecar::with_console(&config_json(discovery.address, &known, 1024), Some(state.path()));
+    let requests = endpoint.echo_requests();
+    assert!(sidecar.request(LOOK).starts_with("HTTP/1.1 200"));
+    assert!(requests.recv().expect("an attempt").starts_with("GET /look"));
+    sidecar.stop_and_join();
 }
--- a/crates/program/tests/sidecar/local_faults.rs
+++ b/crates/program/tests/sidecar/local_faults.rs
@@ -1,11 +1,12 @@
-//! Attempts that come to nothing by a fault of this process, which says nothing of the endpoint.
+//! Attempts that fail by a fault of this process, which says nothing of the endpoint.
 //!
-//! Each was booked as a failure of the endpoint to connect: it got a strike and a pause, doubled with each in a row, and the
-//! learned limit took it for an outcome of the endpoint's.
+//! The fault: each was recorded as a failure of the endpoint to connect. The endpoint got a strike
+//! and a backoff, doubled with each in a row, and the learned limit counted it as an outcome of the
+//! endpoint's.
 
 use crate::embedded::Embedded;
 use crate::peers::*;
-use crate::repeats::narrow;
+use crate::repeats::constrained_listener;
 use cottonpoint::net::servers::Outgoing;
 use cottonpoint::sidecar::{NewFlow, Step};
 use cottonpoint::{ClassId, Outcome};
@@ -16,46 +17,48 @@
     Duration::from_millis(ms)
 }
 
-/// How an attempt ends at that endpoint, which may have so many connections and so long for each, where the attempt is
-/// given up after that time.
+/// The outcome of an attempt at this endpoint, with a maximum number of connections and a time
+/// limit for each connect, if the attempt is abandoned after `attempt_timeout`.
 fn outcome(
     endpoint: SocketAddr,
     connections: usize,
     connect_timeout: Duration,
-    given_up: Duration,
+    attempt_timeout: Duration,
 ) -> Outcome {
-    let embedded = Embedded::new(&[line("t0", endpoint, "active")], connections, connect_timeout);
+    let embedded = Embedded::new(&[instance_json("t0", endpoint, "active")], connections, connect_timeout);
     let due = embedded.sidecar.clock().now() + ms(3000);
     let flow = embedded.sidecar.admit(NewFlow { class: ClassId(0), tenant: None, due });
     let message = Outgoing { head: "GET /look HTTP/1.1\r\n".to_owned(), body: Vec::new() };
     embedded.run(async {
-        let Step::Attempt(attempt) = flow.route().await else { panic!("it is sent") };
-        let until = Instant::now() + given_up;
+        let Step::Attempt(attempt) = flow.route().await else { panic!("no attempt is made") };
+        let until = Instant::now() + attempt_timeout;
         let (outcome, ..) = embedded.servers.send(&attempt, until, &message, || true, || ()).await;
         attempt.book(outcome, None);
         outcome
     })
 }
 
-/// Guards against: an endpoint blamed where this process has no connection to spare.
+/// Guards against blaming the endpoint if this process has no free connection.
 #[test]
-fn an_attempt_without_a_connection_to_spare_is_not_the_endpoints_failure() {
-    let endpoint = Peer::new();
+fn attempt_without_free_connection_is_moot() {
+    let endpoint = ScriptedServer::new();
     assert_eq!(outcome(endpoint.address, 0, ms(500), ms(1000)), Outcome::Moot);
 }
 
-/// Guards against: an endpoint blamed for a connection that the attempt's own time did not wait for.
+/// Guards against blaming the endpoint for a connection that the attempt's own time was too short
+/// for.
 #[test]
-fn an_attempt_that_ends_before_its_connection_could_come_up_is_not_the_endpoints_failure() {
-    let (_listener, address) = narrow();
+fn attempt_that_ends_before_its_connect_timeout_is_moot() {
+    let (_listener, address) = constrained_listener();
     let _fillers = [(), ()].map(|()| TcpStream::connect_timeout(&address, ms(200)));
     assert_eq!(outcome(address, 8, ms(500), ms(30)), Outcome::Moot);
 }
 
-/// Guards against: an endpoint that refuses connections, or lets none come up in its time, taken for a healthy one.
+/// Guards against taking an endpoint for healthy that refuses connections, or establishes none in
+/// time.
 #[test]
-fn an_endpoint_that_takes_no_connection_has_failed() {
-    let (_listener, full) = narrow();
+fn refused_or_timed_out_connect_is_endpoint_failure() {
+    let (_listener, full) = constrained_listener();
     let _fillers = [(), ()].map(|()| TcpStream::connect_timeout(&full, ms(200)));
     assert_eq!(outcome(full, 8, ms(50), ms(1000)), Outcome::ConnectFailed);
     let (listener, gone) = listen();
--- a/crates/program/tests/sidecar/main.rs
+++ b/crates/program/tests/sidecar/main.rs
@@ -1,4 +1,5 @@
-//! The sidecar on sockets, against scripted peers: one story for each failure that it guards against.
+//! Tests of the sidecar on sockets, against scripted clients, endpoints and discovery: one test for
+//! each failure that it guards against.
 #![allow(missing_docs)]
 
 mod clients;
--- a/crates/program/tests/sidecar/peers.rs
+++ b/crates/program/tests/sidecar/peers.rs
@@ -1,4 +1,5 @@
-//! Scripted peers on loopback: a sidecar in a thread of its own, clients, targets and discovery.
+//! Test doubles on loopback: a sidecar on a thread of its own, scripted clients, endpoints and
+//! discovery.
 
 use cottonpoint::config::Config;
 use cottonpoint::serve::{self, ControlEvent};
@@ -8,8 +9,8 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Longer than any wait in these stories: only a failure takes it.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longer than any wait in these tests: it elapses only in a failure.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub fn listen() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -17,8 +18,8 @@
     (listener, address)
 }
 
-/// What a message's head says of its body's length. Read by a reader that is not the sidecar's own: what the two
-/// did not agree on would fail the story.
+/// The body length that the head of a message declares. The parser is not the sidecar's own: what
+/// the two disagree on fails the test.
 fn body_length(head: &[u8]) -> usize {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let whole = if head.starts_with(b"HTTP/") {
@@ -27,7 +28,7 @@
         httparse::Request::new(&mut headers).parse(head)
     };
     let text = String::from_utf8_lossy(head);
-    assert_eq!(whole, Ok(httparse::Status::Complete(head.len())), "a head as HTTP has it: {text}");
+    assert_eq!(whole, Ok(httparse::Status::Complete(head.len())), "the head is valid HTTP: {text}");
     let lengths = headers.iter().filter(|h| h.name.eq_ignore_ascii_case("content-length"));
     let mut lengths = lengths.map(|h| str::from_utf8(h.value).ok().and_then(|l| l.parse().ok()));
     let length = lengths.next().map_or(0, |l| l.expect("a length"));
@@ -35,10 +36,10 @@
     length
 }
 
-/// The next HTTP message on a stream, head and body, or what came before the stream ended. It is read byte by byte
-/// up to its end: what comes behind it is left to the next call.
-pub fn message(stream: &mut TcpStream) -> String {
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+/// Reads the next HTTP message from a stream, head and body, or what arrived before the stream
+/// ended. It is read byte by byte up to its end, which leaves what follows to the next call.
+pub fn read_message(stream: &mut TcpStream) -> String {
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
     let (mut bytes, mut byte) = (Vec::new(), [0]);
     let mut left = None;
     while left != Some(0) {
@@ -47,7 +48,11 @@
             Ok(_) => break,
             Err(e) if e.kind() == std::io::ErrorKind::Interrupted => continue,
             Err(e) => {
-                assert_eq!(e.kind(), std::io::ErrorKind::ConnectionReset, "it did not come in time");
+                assert_eq!(
+                    e.kind(),
+                    std::io::ErrorKind::ConnectionReset,
+                    "the message did not arrive in time"
+                );
                 break;
             }
         }
@@ -59,70 +64,73 @@
     String::from_utf8_lossy(&bytes).replace("\r\n", "\n")
 }
 
-/// A connection that a target or discovery accepted, and what came on it.
-pub struct Came {
+/// A connection that an endpoint or discovery has accepted, and the last message read from it.
+pub struct AcceptedConnection {
     pub stream: TcpStream,
     pub text: String,
 }
 
-impl Came {
+impl AcceptedConnection {
     pub fn reply(&mut self, status: &str, headers: &str, body: &str) {
         let head = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len());
         self.stream.write_all(head.as_bytes()).expect("the sidecar reads");
     }
 
-    /// Waits for the next message on the same connection; empty when the sidecar closes it.
-    pub fn next(&mut self) -> &str {
-        self.text = message(&mut self.stream);
+    /// Reads the next message from the same connection; empty if the sidecar closes it.
+    pub fn read_next(&mut self) -> &str {
+        self.text = read_message(&mut self.stream);
         &self.text
     }
 }
 
-/// A listener that the story answers for, message by message, each connection's first one by itself.
-pub struct Peer {
+/// A listener that the test answers for message by message; the first message of each connection is
+/// read with `accept`.
+pub struct ScriptedServer {
     listener: TcpListener,
     pub address: SocketAddr,
 }
 
-impl Peer {
-    pub fn new() -> Peer {
+impl ScriptedServer {
+    pub fn new() -> ScriptedServer {
         let (listener, address) = listen();
-        Peer { listener, address }
+        ScriptedServer { listener, address }
     }
 
-    /// The same listener, to be waited on elsewhere.
-    pub fn again(&self) -> Peer {
-        Peer { listener: self.listener.try_clone().expect("a descriptor"), address: self.address }
+    /// Another handle of the same listener, to wait on elsewhere.
+    pub fn share(&self) -> ScriptedServer {
+        ScriptedServer { listener: self.listener.try_clone().expect("a descriptor"), address: self.address }
     }
 
-    pub fn accept(&self) -> Came {
-        let mut stream = self.next();
-        let text = message(&mut stream);
-        Came { stream, text }
+    pub fn accept(&self) -> AcceptedConnection {
+        let mut stream = self.accept_stream();
+        let text = read_message(&mut stream);
+        AcceptedConnection { stream, text }
     }
 
-    /// Waits for the sidecar to connect; the story fails where it does not.
-    fn next(&self) -> TcpStream {
+    /// Waits for the sidecar to connect, and fails the test if it does not.
+    fn accept_stream(&self) -> TcpStream {
         self.listener.set_nonblocking(false).expect("a socket");
-        let (listener, (came, comes)) = (self.listener.try_clone().expect("a descriptor"), channel());
-        thread::spawn(move || came.send(listener.accept()));
-        let (stream, _) = comes.recv_timeout(PATIENCE).expect("the sidecar connects").expect("a socket");
+        let (listener, (sender, receiver)) = (self.listener.try_clone().expect("a descriptor"), channel());
+        thread::spawn(move || sender.send(listener.accept()));
+        let (stream, _) =
+            receiver.recv_timeout(TEST_TIMEOUT).expect("the sidecar connects").expect("a socket");
         stream
     }
 
-    /// Answers all that comes with 200 and its own first line, from here on, on threads of its own. Yields
-    /// each message as it comes.
-    pub fn echo(self) -> Receiver<String> {
-        let (seen, sees) = channel();
+    /// Answers every message with 200 and the message's first line from now on, on threads of its
+    /// own. Returns the messages as they arrive.
+    pub fn echo_requests(self) -> Receiver<String> {
+        let (sender, receiver) = channel();
         self.listener.set_nonblocking(false).expect("a socket");
         thread::spawn(move || {
             for stream in self.listener.incoming() {
-                let (seen, mut stream): (Sender<String>, _) = (seen.clone(), stream.expect("a connection"));
+                let (sender, mut stream): (Sender<String>, _) =
+                    (sender.clone(), stream.expect("a connection"));
                 thread::spawn(move || {
                     loop {
-                        let text = message(&mut stream);
+                        let text = read_message(&mut stream);
                         let Some(line) = text.lines().next().map(str::to_owned) else { return };
-                        let _ = seen.send(text);
+                        let _ = sender.send(text);
                         let head =
                             format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{line}", line.len());
                         if stream.write_all(head.as_bytes()).is_err() {
@@ -132,23 +140,24 @@
                 });
             }
         });
-        sees
+        receiver
     }
 }
 
-/// One line of discovery's list.
-pub fn line(name: &str, address: SocketAddr, lifecycle: &str) -> String {
+/// One instance of discovery's list.
+pub fn instance_json(name: &str, address: SocketAddr, lifecycle: &str) -> String {
     format!(
         r#"{{"instanceId":"{name}","hostPort":"{address}","zone":"a","machineType":"m","cell":0,"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":0}}"#
     )
 }
 
-pub fn list(generation: u64, reset: bool, lines: &[String]) -> String {
+pub fn list_json(generation: u64, reset: bool, lines: &[String]) -> String {
     format!(r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#, lines.join(","))
 }
 
-/// A configuration: two classes, `look` (safe) and `order` (keyed), aim 1 s, given up after 3 s.
-pub fn config(discovery: SocketAddr, known: &str, sockets: u32) -> String {
+/// A configuration with two classes, `look` (safe) and `order` (keyed), a latency target of 1 s and
+/// a client timeout of 3 s.
+pub fn config_json(discovery: SocketAddr, known: &str, sockets: u32) -> String {
     let class = |name: &str, semantics: &str| {
         format!(
             r#"{{"name":"{name}","semantics":"{semantics}","group":"all","window_ns":10000000000,
@@ -170,39 +179,39 @@
     )
 }
 
-/// A sidecar that serves.
-pub struct Running {
+/// A running sidecar.
+pub struct TestSidecar {
     pub address: SocketAddr,
-    words: async_channel::Sender<ControlEvent>,
+    control_events: async_channel::Sender<ControlEvent>,
     thread: JoinHandle<()>,
 }
 
-impl Running {
-    pub fn start(config: &str) -> Running {
+impl TestSidecar {
+    pub fn start(config: &str) -> TestSidecar {
         let config = Config::parse(config, |_| None).expect("a good configuration");
         let (listener, address) = listen();
-        let (words, heard) = async_channel::unbounded();
-        let serve = move || serve::run(config, listener, None, Box::pin(heard)).expect("it serves");
-        Running { address, words, thread: thread::spawn(serve) }
+        let (control_events, receiver) = async_channel::unbounded();
+        let serve = move || serve::run(config, listener, None, Box::pin(receiver)).expect("it serves");
+        TestSidecar { address, control_events, thread: thread::spawn(serve) }
     }
 
-    /// One with a console, whose state outlives it in `state`, if given.
-    pub fn with_console(config: &str, state: Option<&std::path::Path>) -> (Running, SocketAddr) {
+    /// Starts a sidecar with a console; its state is kept in `state`, if given.
+    pub fn with_console(config: &str, state: Option<&std::path::Path>) -> (TestSidecar, SocketAddr) {
         let state = state.map(|s| s.display().to_string());
         let config = Config::parse(config, |name| state.clone().filter(|_| name == "TMPDIR"));
         let config = config.expect("a good configuration");
-        let ((listener, address), (console, at)) = (listen(), listen());
-        let (words, heard) = async_channel::unbounded();
+        let ((listener, address), (console, console_address)) = (listen(), listen());
+        let (control_events, receiver) = async_channel::unbounded();
         let listeners = serve::Listeners { clients: listener, metrics: None, console: Some(console) };
-        let serve = move || serve::run_with(config, listeners, Box::pin(heard)).expect("it serves");
-        (Running { address, words, thread: thread::spawn(serve) }, at)
+        let serve = move || serve::run_with(config, listeners, Box::pin(receiver)).expect("it serves");
+        (TestSidecar { address, control_events, thread: thread::spawn(serve) }, console_address)
     }
 
-    /// One that knows these targets and whose discovery is scripted by the story.
-    pub fn knowing(targets: &[SocketAddr], discovery: &Peer) -> Running {
-        let targets = targets.iter().enumerate();
-        let lines: Vec<_> = targets.map(|(i, a)| line(&format!("t{i}"), *a, "active")).collect();
-        Running::start(&config(discovery.address, &list(1, true, &lines), 1024))
+    /// Starts a sidecar that knows these endpoints and whose discovery is scripted by the test.
+    pub fn with_endpoints(endpoints: &[SocketAddr], discovery: &ScriptedServer) -> TestSidecar {
+        let endpoints = endpoints.iter().enumerate();
+        let lines: Vec<_> = endpoints.map(|(i, a)| instance_json(&format!("t{i}"), *a, "active")).collect();
+        TestSidecar::start(&config_json(discovery.address, &list_json(1, true, &lines), 1024))
     }
 
     pub fn client(&self) -> TcpStream {
@@ -210,23 +219,23 @@
     }
 
     /// Sends one request on a connection of its own and returns the answer.
-    pub fn ask(&self, request: &str) -> String {
+    pub fn request(&self, request: &str) -> String {
         let mut client = self.client();
         send(&mut client, request);
-        message(&mut client)
+        read_message(&mut client)
     }
 
     pub fn stop(&self) {
-        let _ = self.words.try_send(ControlEvent::Stop);
+        let _ = self.control_events.try_send(ControlEvent::Stop);
     }
 
-    /// Gives it another configuration, as a file might hold it.
+    /// Reloads the configuration with this text.
     pub fn reload(&self, config: &str) {
         let config = Config::parse(config, |_| None).map(Box::new);
-        let _ = self.words.try_send(ControlEvent::Reload(config));
+        let _ = self.control_events.try_send(ControlEvent::Reload(config));
     }
 
-    pub fn ends(self) {
+    pub fn stop_and_join(self) {
         self.stop();
         self.thread.join().expect("it ends without a panic");
     }
@@ -254,19 +263,20 @@
 
 paper";
 
-/// One call on the console, and its whole answer: a line, or for `DUMP` the lines up to `.`.
-pub fn call(console: SocketAddr, line: &str) -> String {
+/// Sends a command to the console and returns the whole answer: a line, or for `DUMP` the lines up
+/// to `.`.
+pub fn console_command(console: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(console).expect("the console listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
     stream.write_all(format!("{line}\n").as_bytes()).expect("it reads");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer in time");
     answer
 }
 
-/// The figures of `DUMP`, as JSON.
-pub fn figures(console: SocketAddr) -> serde_json::Value {
-    let answer = call(console, "DUMP");
+/// The statistics of `DUMP`, as JSON.
+pub fn console_statistics(console: SocketAddr) -> serde_json::Value {
+    let answer = console_command(console, "DUMP");
     let lines: Vec<&str> = answer.lines().collect();
     assert_eq!((lines.len(), lines[lines.len() - 1]), (2, "."), "{answer}");
     serde_json::from_str(lines[0]).expect("JSON")
--- a/crates/program/tests/sidecar/program.rs
+++ b/crates/program/tests/sidecar/program.rs
@@ -1,6 +1,7 @@
-//! The built program as a process of its own, where a story is about the process: its descriptors, its memory.
+//! The built program as a process of its own, for tests that concern the process: its descriptors
+//! and its memory.
 
-use crate::peers::{message, send};
+use crate::peers::{read_message, send};
 use rustix::process::{Pid, Signal, WaitOptions, kill_process, waitpid};
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
@@ -8,29 +9,30 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Held while a child process is started, and while connections end whose end has to be seen at once. Between fork and
-/// exec a child holds a copy of every descriptor, so that what is closed meanwhile ends only with its exec.
-static DESCRIPTORS_COPIED: Mutex<()> = Mutex::new(());
+/// Held while a child process is started, and while connections are closed whose end has to be seen
+/// at once. Between fork and exec a child holds a copy of every descriptor, so that a connection
+/// closed meanwhile ends only with its exec.
+static DESCRIPTOR_LOCK: Mutex<()> = Mutex::new(());
 
-fn no_descriptors_copied() -> MutexGuard<'static, ()> {
-    DESCRIPTORS_COPIED.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_descriptors() -> MutexGuard<'static, ()> {
+    DESCRIPTOR_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Starts a child process; it has executed its program when this returns.
+/// Starts a child process, which has executed its program when this returns.
 fn start_child(command: &mut Command) -> Child {
-    let _copied = no_descriptors_copied();
+    let _lock = lock_descriptors();
     command.spawn().expect("the program starts")
 }
 
-/// Makes a named pipe.
-pub fn make_pipe(path: &Path) {
+/// Creates a named pipe.
+pub fn create_pipe(path: &Path) {
     let made = start_child(Command::new("mkfifo").arg(path)).wait().expect("mkfifo runs");
     assert!(made.success());
 }
 
-/// A configuration under which attempts, and connections that do not come up, last until shortly before the time left
-/// of a request of `LOOK`'s kind is over.
-pub fn patient(config: &str) -> String {
+/// A configuration under which attempts, and connections that are not established, last until
+/// shortly before the time left of a request such as `LOOK` is over.
+pub fn with_long_timeouts(config: &str) -> String {
     config
         .replace("aim_ns\":1000", "aim_ns\":2900")
         .replace("timeout_ns\":500000000", "timeout_ns\":2900000000")
@@ -44,7 +46,8 @@
 }
 
 impl Program {
-    /// Starts one that may open so many descriptors, and waits until it says where it listens.
+    /// Starts a process that may open so many descriptors, and waits until it has logged where it
+    /// listens.
     pub fn start(config: &str, descriptors: u32) -> Program {
         let dir = tempfile::tempdir().expect("a directory");
         let file = dir.path().join("config.json");
@@ -61,21 +64,22 @@
         let mut listens = log.by_ref().filter_map(|line| {
             line.split_once("listen=").map(|(_, at)| at.parse::<SocketAddr>().expect("an address"))
         });
-        let said = "it says where it listens";
-        let (console, address) = (listens.next().expect(said), listens.next().expect(said));
+        let expectation = "it logs where it listens";
+        let (console, address) = (listens.next().expect(expectation), listens.next().expect(expectation));
         std::thread::spawn(move || log.for_each(drop));
         Program { child, address, console }
     }
 
-    /// Holds it still while something happens: what comes meanwhile comes to it in one turn, closes as well.
-    pub fn meanwhile<T>(&self, happens: impl FnOnce() -> T) -> T {
-        let _closes_at_once = no_descriptors_copied();
+    /// Suspends the process while `action` runs: what arrives meanwhile, closes included, reaches
+    /// it in one turn.
+    pub fn while_suspended<T>(&self, action: impl FnOnce() -> T) -> T {
+        let _lock = lock_descriptors();
         let pid = Pid::from_child(&self.child);
         kill_process(pid, Signal::STOP).expect("a process");
-        waitpid(Some(pid), WaitOptions::UNTRACED).expect("it stands still");
-        let happened = happens();
+        waitpid(Some(pid), WaitOptions::UNTRACED).expect("it is suspended");
+        let result = action();
         kill_process(pid, Signal::CONT).expect("a process");
-        happened
+        result
     }
 
     /// A client that has sent a request.
@@ -85,18 +89,18 @@
         client
     }
 
-    /// Once it has answered this, it has taken what came before.
-    pub fn has_taken(&self) {
+    /// Waits until the process has answered a request, and so has processed what arrived before.
+    pub fn wait_until_input_is_processed(&self) {
         let ready = "GET /health/ready HTTP/1.1\nHost: n0\n\n";
-        assert!(message(&mut self.client(ready)).starts_with("HTTP/1.1 "));
+        assert!(read_message(&mut self.client(ready)).starts_with("HTTP/1.1 "));
     }
 
-    /// Descriptors that it holds.
+    /// The number of descriptors that it holds.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
     }
 
-    /// The most memory that it ever held, in kB.
+    /// The most memory that it has ever held, in kB.
     pub fn peak_kb(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
         let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")?.split_whitespace().next());
--- a/crates/program/tests/sidecar/repeats.rs
+++ b/crates/program/tests/sidecar/repeats.rs
@@ -1,4 +1,5 @@
-//! Further attempts at a request: after which ends, until when, where to, and never two at once.
+//! Retries of a request: after which outcomes, until when, at which endpoints, and never two
+//! attempts at once.
 
 use crate::peers::*;
 use socket2::{Domain, SockRef, Socket, Type};
@@ -8,42 +9,43 @@
 use std::thread;
 use std::time::Duration;
 
-/// Longer than any wait in these stories: only a failure takes it.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longer than any wait in these tests: it elapses only in a failure.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Requests as they come in whole on new connections, at whichever of these endpoints.
-pub fn arrivals(listeners: Vec<TcpListener>) -> Receiver<(usize, Came)> {
-    let (came, comes) = channel();
+/// Receives the first request of each new connection, with the number of the listener.
+pub fn receive_requests(listeners: Vec<TcpListener>) -> Receiver<(usize, AcceptedConnection)> {
+    let (sender, receiver) = channel();
     for (i, listener) in listeners.into_iter().enumerate() {
-        let came = came.clone();
+        let sender = sender.clone();
         thread::spawn(move || {
             for mut stream in listener.incoming().map_while(Result::ok) {
-                let came = came.clone();
+                let sender = sender.clone();
                 thread::spawn(move || {
-                    let text = message(&mut stream);
+                    let text = read_message(&mut stream);
                     if !text.is_empty() {
-                        let _ = came.send((i, Came { stream, text }));
+                        let _ = sender.send((i, AcceptedConnection { stream, text }));
                     }
                 });
             }
         });
     }
-    comes
+    receiver
 }
 
-/// So many endpoints, and the requests that come to them. Of two, one is never paused for what it did.
-pub fn endpoints(count: usize) -> (Vec<SocketAddr>, Receiver<(usize, Came)>) {
+/// Starts so many endpoints and receives their requests. Of two, one is never in backoff.
+pub fn start_endpoints(count: usize) -> (Vec<SocketAddr>, Receiver<(usize, AcceptedConnection)>) {
     let (listeners, addresses): (Vec<_>, Vec<_>) = (0..count).map(|_| listen()).unzip();
-    (addresses, arrivals(listeners))
+    (addresses, receive_requests(listeners))
 }
 
-pub fn arrival(comes: &Receiver<(usize, Came)>) -> (usize, Came) {
-    comes.recv_timeout(PATIENCE).expect("a request comes")
+pub fn next_request(requests: &Receiver<(usize, AcceptedConnection)>) -> (usize, AcceptedConnection) {
+    requests.recv_timeout(TEST_TIMEOUT).expect("a request arrives")
 }
 
-/// A listener with room for one connection that was not accepted: further ones come up once that is taken, when
-/// they knock again after a second. Its connections take in little at a time.
-pub fn narrow() -> (TcpListener, SocketAddr) {
+/// A listener with room for one connection that is not accepted yet: further ones are established
+/// once that one is accepted, when they retransmit their SYN after a second. Its connections have
+/// small receive buffers.
+pub fn constrained_listener() -> (TcpListener, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4096).expect("a small window");
     socket.set_tcp_mss(536).expect("small segments");
@@ -55,7 +57,7 @@
 }
 
 /// Ends a connection by a reset.
-pub fn reset(stream: TcpStream) {
+pub fn reset_connection(stream: TcpStream) {
     SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("a socket");
 }
 
@@ -65,106 +67,108 @@
     !matches!(stream.read(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
 }
 
-/// What the peers' configuration says, with `order` unsafe to repeat.
-pub fn unsafe_order(discovery: SocketAddr, endpoints: &[SocketAddr]) -> String {
-    configured(discovery, endpoints).replace("idempotency_key", "non_idempotent")
+/// The configuration of `config_with_endpoints`, with the class `order` unsafe to repeat.
+pub fn config_with_unsafe_orders(discovery: SocketAddr, endpoints: &[SocketAddr]) -> String {
+    config_with_endpoints(discovery, endpoints).replace("idempotency_key", "non_idempotent")
 }
 
-pub fn configured(discovery: SocketAddr, endpoints: &[SocketAddr]) -> String {
+pub fn config_with_endpoints(discovery: SocketAddr, endpoints: &[SocketAddr]) -> String {
     let endpoints = endpoints.iter().enumerate();
-    let lines: Vec<_> = endpoints.map(|(i, a)| line(&format!("t{i}"), *a, "active")).collect();
-    patient(&config(discovery, &list(1, true, &lines), 1024))
+    let lines: Vec<_> = endpoints.map(|(i, a)| instance_json(&format!("t{i}"), *a, "active")).collect();
+    with_long_latency_target(&config_json(discovery, &list_json(1, true, &lines), 1024))
 }
 
-/// With an aim that leaves time for a further attempt on a busy machine too.
-fn patient(config: &str) -> String {
+/// With a latency target that leaves time for a retry on a busy machine too.
+fn with_long_latency_target(config: &str) -> String {
     config.replace(r#""aim_ns":1000000000"#, r#""aim_ns":2500000000"#)
 }
 
-/// The next connection to a listener that the story answers for.
-pub fn accept(listener: &TcpListener) -> Came {
-    let (listener, (came, comes)) = (listener.try_clone().expect("a descriptor"), channel());
-    thread::spawn(move || came.send(listener.accept()));
-    let (stream, _) = comes.recv_timeout(PATIENCE).expect("the sidecar connects").expect("a socket");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
-    stream.set_write_timeout(Some(PATIENCE)).expect("a socket");
-    Came { stream, text: String::new() }
+/// The next connection to a listener that the test answers for.
+pub fn accept_connection(listener: &TcpListener) -> AcceptedConnection {
+    let (listener, (sender, receiver)) = (listener.try_clone().expect("a descriptor"), channel());
+    thread::spawn(move || sender.send(listener.accept()));
+    let (stream, _) = receiver.recv_timeout(TEST_TIMEOUT).expect("the sidecar connects").expect("a socket");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
+    stream.set_write_timeout(Some(TEST_TIMEOUT)).expect("a socket");
+    AcceptedConnection { stream, text: String::new() }
 }
 
-/// An order without a key and with a body of so many bytes.
-pub fn order(id: &str, length: usize) -> String {
+/// An order without an idempotency key and with a body of so many bytes.
+pub fn order_request(id: &str, length: usize) -> String {
     let head = ORDER.replace("Idempotency-Key: k2\n", "").replace("c2", id);
     let head = head.replace("Content-Length: 5\n\npaper", "");
     format!("{head}Content-Length: {length}\n\n{}", "p".repeat(length))
 }
 
-fn look(id: &str) -> String {
+fn look_request(id: &str) -> String {
     LOOK.replace("c1", id)
 }
 
 /// The status of an answer.
-pub fn status(answer: &str) -> &str {
+pub fn status_code(answer: &str) -> &str {
     answer.split(' ').nth(1).unwrap_or_default()
 }
 
-/// Guards against: an unsafe request given up where another attempt does no harm.
+/// Guards against giving up an unsafe request for which another attempt is harmless.
 #[test]
-fn an_unsafe_request_goes_out_again_where_it_surely_never_ran() {
-    let discovery = Peer::new();
-    for turned_away in ["503 Service Unavailable", "504 Gateway Timeout"] {
-        let (addresses, comes) = endpoints(2);
-        let sidecar = Running::start(&unsafe_order(discovery.address, &addresses));
+fn unsafe_request_is_retried_where_it_surely_never_ran() {
+    let discovery = ScriptedServer::new();
+    for rejection in ["503 Service Unavailable", "504 Gateway Timeout"] {
+        let (addresses, requests) = start_endpoints(2);
+        let sidecar = TestSidecar::start(&config_with_unsafe_orders(discovery.address, &addresses));
         let mut client = sidecar.client();
-        send(&mut client, &order("c2", 5));
-        let (_, mut first) = arrival(&comes);
-        first.reply(turned_away, "X-Unprocessed: 1\r\nConnection: close\r\n", "");
-        let (_, mut second) = arrival(&comes);
+        send(&mut client, &order_request("c2", 5));
+        let (_, mut first) = next_request(&requests);
+        first.reply(rejection, "X-Unprocessed: 1\r\nConnection: close\r\n", "");
+        let (_, mut second) = next_request(&requests);
         assert!(second.text.ends_with("\n\nppppp"));
         second.reply("200 OK", "", "done");
-        assert!(message(&mut client).ends_with("done"));
-        sidecar.ends();
+        assert!(read_message(&mut client).ends_with("done"));
+        sidecar.stop_and_join();
     }
 }
 
-/// Guards against: an unsafe request given up, or refused, because an endpoint is not there, or does not let a
-/// connection come up.
+/// Guards against giving up or refusing an unsafe request because an endpoint is not there, or no
+/// connection to it is established.
 #[test]
-fn an_unsafe_request_goes_on_to_the_next_endpoint_where_no_connection_comes_up() {
-    let discovery = Peer::new();
+fn unsafe_request_is_retried_elsewhere_after_connect_failure() {
+    let discovery = ScriptedServer::new();
     let (dead, refuses) = listen();
     drop(dead);
-    let (full, silent) = narrow();
+    let (full, silent) = constrained_listener();
     let _filler = TcpStream::connect(silent).expect("the last that fits");
     for gone in [refuses, silent] {
         let (listener, address) = listen();
-        let comes = arrivals(vec![listener]);
-        let sidecar = Running::start(&unsafe_order(discovery.address, &[gone, address]));
-        // The second goes to the other endpoint than the first, by least work: one of them meets the dead one.
+        let requests = receive_requests(vec![listener]);
+        let sidecar = TestSidecar::start(&config_with_unsafe_orders(discovery.address, &[gone, address]));
+        // The second request goes to the other endpoint than the first, by least work: one of them
+        // is sent to the dead one.
         let mut clients = [sidecar.client(), sidecar.client()];
-        send(&mut clients[0], &order("c0", 5));
-        let (_, mut one) = arrival(&comes);
-        send(&mut clients[1], &order("c1", 5));
-        let (_, mut other) = arrival(&comes);
+        send(&mut clients[0], &order_request("c0", 5));
+        let (_, mut one) = next_request(&requests);
+        send(&mut clients[1], &order_request("c1", 5));
+        let (_, mut other) = next_request(&requests);
         one.reply("200 OK", "", "c0");
         other.reply("200 OK", "", "c1");
         for (client, id) in clients.iter_mut().zip(["c0", "c1"]) {
-            assert!(message(client).ends_with(id));
+            assert!(read_message(client).ends_with(id));
         }
-        sidecar.ends();
+        sidecar.stop_and_join();
     }
     drop(full);
 }
 
-/// Guards against: a second run of an unsafe request; a failure worded as a refusal, which would invite one; and
-/// what is left of the failed attempt given to the next request.
+/// Guards against a second execution of an unsafe request, a failure reported as a refusal, which
+/// would invite one, and the rest of a failed attempt's answer given to the next request.
 #[test]
-fn an_unsafe_request_that_may_have_run_is_failed_once() {
+fn unsafe_request_that_may_have_run_fails_without_retry() {
     let short = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab";
     let open = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nab";
     let chunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n";
     let busy = "HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-    // What the endpoint writes, and how it goes on: it ends, resets or waits.
-    let ends = [
+    // What the endpoint writes, and what it does then: it closes or resets the connection, or
+    // waits.
+    let endings = [
         ("", "reset"),
         ("", "end"),
         ("", "wait"),
@@ -184,14 +188,14 @@
         (chunks, "end"),
         (chunks, "wait"),
     ];
-    let stories = ends.map(|(text, then)| {
+    let cases = endings.map(|(text, then)| {
         thread::spawn(move || {
-            let discovery = Peer::new();
-            let (addresses, comes) = endpoints(2);
-            let sidecar = Running::start(&unsafe_order(discovery.address, &addresses));
+            let discovery = ScriptedServer::new();
+            let (addresses, requests) = start_endpoints(2);
+            let sidecar = TestSidecar::start(&config_with_unsafe_orders(discovery.address, &addresses));
             let mut client = sidecar.client();
-            send(&mut client, &order("c2", 5));
-            let (_, mut first) = arrival(&comes);
+            send(&mut client, &order_request("c2", 5));
+            let (_, mut first) = next_request(&requests);
             first.stream.write_all(text.as_bytes()).expect("it reads");
             let kept = match then {
                 "wait" => Some(first),
@@ -200,168 +204,176 @@
                     None
                 }
                 _ => {
-                    reset(first.stream);
+                    reset_connection(first.stream);
                     None
                 }
             };
-            let answer = message(&mut client);
-            assert!(!matches!(status(&answer), "200" | "429" | "503"), "{text:?}, {then}: {answer}");
-            assert!(matches!(comes.try_recv(), Err(TryRecvError::Empty)), "{text:?}, {then}: sent again");
+            let answer = read_message(&mut client);
+            assert!(!matches!(status_code(&answer), "200" | "429" | "503"), "{text:?}, {then}: {answer}");
+            assert!(
+                matches!(requests.try_recv(), Err(TryRecvError::Empty)),
+                "{text:?}, {then}: sent again"
+            );
             drop(kept);
-            // The next request comes next, and gets its own answer.
-            send(&mut client, &look("c3"));
-            let (_, mut next) = arrival(&comes);
+            // The next request is sent next, and gets its own answer.
+            send(&mut client, &look_request("c3"));
+            let (_, mut next) = next_request(&requests);
             assert!(next.text.starts_with("GET"), "{text:?}, {then}: {}", next.text);
             next.reply("200 OK", "", "own");
-            assert!(message(&mut client).ends_with("own"), "{text:?}, {then}");
-            sidecar.ends();
+            assert!(read_message(&mut client).ends_with("own"), "{text:?}, {then}");
+            sidecar.stop_and_join();
         })
     });
-    for story in stories {
-        story.join().expect("the story holds");
+    for case in cases {
+        case.join().expect("the case passes");
     }
 }
 
-/// Guards against: an answer without a length that was reset on its way passed on as whole; one that ended well
-/// taken for a failure.
+/// Guards against passing on as complete an answer without a length that was cut off by a reset,
+/// and against taking one for a failure that ended orderly.
 #[test]
-fn an_answer_without_a_length_is_whole_only_where_its_connection_ends_well() {
-    let discovery = Peer::new();
-    let (addresses, comes) = endpoints(2);
-    let sidecar = Running::start(&configured(discovery.address, &addresses));
+fn answer_without_length_is_complete_only_after_orderly_close() {
+    let discovery = ScriptedServer::new();
+    let (addresses, requests) = start_endpoints(2);
+    let sidecar = TestSidecar::start(&config_with_endpoints(discovery.address, &addresses));
     for body in ["ab".to_owned(), "b".repeat(64 << 10)] {
         let mut client = sidecar.client();
         send(&mut client, LOOK);
         let answer = format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}");
-        let (_, mut first) = arrival(&comes);
+        let (_, mut first) = next_request(&requests);
         first.stream.write_all(answer.as_bytes()).expect("it reads");
-        reset(first.stream);
-        let (_, mut second) = arrival(&comes);
+        reset_connection(first.stream);
+        let (_, mut second) = next_request(&requests);
         second.stream.write_all(answer.as_bytes()).expect("it reads");
         drop(second);
-        let answer = message(&mut client);
+        let answer = read_message(&mut client);
         assert!(answer.ends_with(&format!("\n\n{body}")), "{answer:.60}");
     }
-    sidecar.ends();
+    sidecar.stop_and_join();
 }
 
-/// Guards against: two attempts out at once: the one before is closed before the next one's first byte.
+/// Guards against two simultaneous attempts: the first is closed before the first byte of the next
+/// one.
 #[test]
-fn an_attempt_given_up_is_closed_before_the_next_begins() {
-    let discovery = Peer::new();
-    for spoilt in ["noise", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", "HTTP/1.1 200 OK\r\nX-"] {
+fn abandoned_attempt_is_closed_before_the_next_begins() {
+    let discovery = ScriptedServer::new();
+    for invalid in ["noise", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", "HTTP/1.1 200 OK\r\nX-"] {
         for kept in [false, true] {
-            let (addresses, comes) = endpoints(1);
-            let sidecar = Running::start(&configured(discovery.address, &addresses));
+            let (addresses, requests) = start_endpoints(1);
+            let sidecar = TestSidecar::start(&config_with_endpoints(discovery.address, &addresses));
             let mut client = sidecar.client();
-            send(&mut client, &look("c1"));
-            let (_, mut first) = arrival(&comes);
+            send(&mut client, &look_request("c1"));
+            let (_, mut first) = next_request(&requests);
             if kept {
                 first.reply("200 OK", "", "one");
-                assert!(message(&mut client).ends_with("one"));
-                send(&mut client, &look("c2"));
-                assert!(first.next().starts_with("GET"));
+                assert!(read_message(&mut client).ends_with("one"));
+                send(&mut client, &look_request("c2"));
+                assert!(first.read_next().starts_with("GET"));
             }
-            first.stream.write_all(spoilt.as_bytes()).expect("it reads");
-            let (_, mut second) = arrival(&comes);
-            assert!(is_closed(&mut first.stream), "{spoilt}");
+            first.stream.write_all(invalid.as_bytes()).expect("it reads");
+            let (_, mut second) = next_request(&requests);
+            assert!(is_closed(&mut first.stream), "{invalid}");
             second.reply("200 OK", "", "good");
-            let answer = message(&mut client);
-            assert!(answer.ends_with("good"), "{spoilt} {kept} {answer}");
-            sidecar.ends();
+            let answer = read_message(&mut client);
+            assert!(answer.ends_with("good"), "{invalid} {kept} {answer}");
+            sidecar.stop_and_join();
         }
     }
 }
 
-/// Guards against: a keyed request repeated after its window, counted from the first attempt that may have run: the
-/// endpoint may have forgotten its key by then.
+/// Guards against retrying a keyed request after its window, which counts from the first attempt
+/// that may have run: the endpoint may have forgotten the key by then.
 #[test]
-fn a_keyed_request_is_not_repeated_after_its_window() {
-    let discovery = Peer::new();
+fn keyed_request_is_not_retried_after_its_window() {
+    let discovery = ScriptedServer::new();
     let (listener, address) = listen();
-    let comes = arrivals(vec![listener]);
-    let config = configured(discovery.address, &[address]).replace("10000000000", "300000000");
-    let sidecar = Running::start(&config);
+    let requests = receive_requests(vec![listener]);
+    let config = config_with_endpoints(discovery.address, &[address]).replace("10000000000", "300000000");
+    let sidecar = TestSidecar::start(&config);
     let mut client = sidecar.client();
     send(&mut client, ORDER);
-    let (_, first) = arrival(&comes);
+    let (_, first) = next_request(&requests);
     thread::sleep(Duration::from_millis(310));
-    reset(first.stream);
-    assert!(status(&message(&mut client)).starts_with('5'));
-    assert!(matches!(comes.try_recv(), Err(TryRecvError::Empty)), "sent again");
-    sidecar.ends();
+    reset_connection(first.stream);
+    assert!(status_code(&read_message(&mut client)).starts_with('5'));
+    assert!(matches!(requests.try_recv(), Err(TryRecvError::Empty)), "sent again");
+    sidecar.stop_and_join();
 }
 
-/// Guards against: a keyed request repeated where its key is not known: out of the zone or cell of the attempt that
-/// may have run.
+/// Guards against retrying a keyed request where its key is not known: outside the zone or cell of
+/// the attempt that may have run.
 #[test]
-fn a_keyed_request_is_repeated_only_within_its_scope() {
-    let discovery = Peer::new();
+fn keyed_request_is_retried_only_within_its_scope() {
+    let discovery = ScriptedServer::new();
     for (scope, here, there) in
         [("cell", r#""cell":0"#, r#""cell":1"#), ("zone", r#""zone":"a""#, r#""zone":"b""#)]
     {
         let ((one, at_one), (other, at_other)) = (listen(), listen());
-        let comes = arrivals(vec![one, other]);
-        let lines = [line("t0", at_one, "active"), line("t1", at_other, "active").replace(here, there)];
-        let config = patient(&config(discovery.address, &list(1, true, &lines), 1024));
+        let requests = receive_requests(vec![one, other]);
+        let lines = [
+            instance_json("t0", at_one, "active"),
+            instance_json("t1", at_other, "active").replace(here, there),
+        ];
+        let config =
+            with_long_latency_target(&config_json(discovery.address, &list_json(1, true, &lines), 1024));
         let config = config.replace(r#""group":"all""#, &format!(r#""group":"{scope}""#));
-        let sidecar = Running::start(&config.replace(r#""azs":["a"]"#, r#""azs":["a","b"]"#));
+        let sidecar = TestSidecar::start(&config.replace(r#""azs":["a"]"#, r#""azs":["a","b"]"#));
         let mut client = sidecar.client();
         send(&mut client, ORDER);
-        let (first_at, first) = arrival(&comes);
-        reset(first.stream);
-        let (second_at, mut second) = arrival(&comes);
+        let (first_at, first) = next_request(&requests);
+        reset_connection(first.stream);
+        let (second_at, mut second) = next_request(&requests);
         assert_eq!(first_at, second_at, "{scope}");
         second.reply("200 OK", "", "done");
-        assert!(message(&mut client).ends_with("done"));
-        sidecar.ends();
+        assert!(read_message(&mut client).ends_with("done"));
+        sidecar.stop_and_join();
     }
 }
 
-/// Guards against: a second final answer, or another client's, made of an answer that goes on as its attempt is
-/// given up.
+/// Guards against a second final answer, or an answer to another client, made of an answer that
+/// continues while its attempt is abandoned.
 #[test]
-fn an_answer_that_is_late_for_its_aim_is_dropped_whole() {
-    let discovery = Peer::new();
-    let (addresses, comes) = endpoints(2);
-    let sidecar = Running::start(&configured(discovery.address, &addresses));
+fn answer_after_its_latency_target_is_dropped_completely() {
+    let discovery = ScriptedServer::new();
+    let (addresses, requests) = start_endpoints(2);
+    let sidecar = TestSidecar::start(&config_with_endpoints(discovery.address, &addresses));
     let mut client = sidecar.client();
-    send(&mut client, &look("c1"));
-    let (_, mut first) = arrival(&comes);
-    // What it begins in time and does not end in time is no answer.
+    send(&mut client, &look_request("c1"));
+    let (_, mut first) = next_request(&requests);
+    // An answer that begins in time and does not end in time is no answer.
     thread::sleep(Duration::from_millis(2200));
     first.stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nla").expect("it reads");
-    let answer = message(&mut client);
-    assert!(status(&answer).starts_with('5'), "{answer}");
+    let answer = read_message(&mut client);
+    assert!(status_code(&answer).starts_with('5'), "{answer}");
     let _ = first.stream.write_all(b"te");
-    send(&mut client, &look("c2"));
-    let (_, mut second) = arrival(&comes);
+    send(&mut client, &look_request("c2"));
+    let (_, mut second) = next_request(&requests);
     assert!(is_closed(&mut first.stream));
     second.reply("200 OK", "", "own");
-    assert!(message(&mut client).ends_with("\n\nown"));
-    sidecar.ends();
+    assert!(read_message(&mut client).ends_with("\n\nown"));
+    sidecar.stop_and_join();
 }
 
-/// Guards against: a reset long after its request was written repeated where that may run it twice, and not where
-/// it does no harm.
+/// Guards against retrying a request whose connection is reset long after it was written if it may
+/// run twice, and against not retrying it if that is harmless.
 #[test]
-fn a_reset_long_after_a_request_is_repeated_only_where_that_does_no_harm() {
-    let discovery = Peer::new();
-    let (addresses, comes) = endpoints(2);
-    let sidecar = Running::start(&unsafe_order(discovery.address, &addresses));
+fn late_reset_is_retried_only_for_safe_request() {
+    let discovery = ScriptedServer::new();
+    let (addresses, requests) = start_endpoints(2);
+    let sidecar = TestSidecar::start(&config_with_unsafe_orders(discovery.address, &addresses));
     let mut clients = [sidecar.client(), sidecar.client()];
-    send(&mut clients[0], &order("c0", 5));
-    let (_, first) = arrival(&comes);
-    send(&mut clients[1], &look("c1"));
-    let (_, other) = arrival(&comes);
+    send(&mut clients[0], &order_request("c0", 5));
+    let (_, first) = next_request(&requests);
+    send(&mut clients[1], &look_request("c1"));
+    let (_, other) = next_request(&requests);
     thread::sleep(Duration::from_millis(600));
-    reset(first.stream);
-    let answer = message(&mut clients[0]);
-    assert!(!matches!(status(&answer), "200" | "429" | "503"), "{answer}");
-    reset(other.stream);
-    let (_, mut second) = arrival(&comes);
+    reset_connection(first.stream);
+    let answer = read_message(&mut clients[0]);
+    assert!(!matches!(status_code(&answer), "200" | "429" | "503"), "{answer}");
+    reset_connection(other.stream);
+    let (_, mut second) = next_request(&requests);
     assert!(second.text.starts_with("GET"), "{}", second.text);
     second.reply("200 OK", "", "good");
-    assert!(message(&mut clients[1]).ends_with("good"));
-    sidecar.ends();
+    assert!(read_message(&mut clients[1]).ends_with("good"));
+    sidecar.stop_and_join();
 }
--- a/crates/program/tests/sidecar/stop.rs
+++ b/crates/program/tests/sidecar/stop.rs
@@ -1,7 +1,8 @@
-//! After the word to stop: who is still served, who is turned away, and what is waited for at the end.
+//! After the stop event: which clients are still served, which are refused, and what is waited for
+//! at the end.
 
 use crate::peers::*;
-use crate::program::make_pipe;
+use crate::program::create_pipe;
 use cottonpoint::config::Config;
 use cottonpoint::serve::{self, ControlEvent};
 use cottonpoint::taken_out::DISABLED_FILE;
@@ -15,15 +16,19 @@
 
 const READY: &str = "GET /health/ready HTTP/1.1\nHost: n0\n\n";
 
-/// A target that answers all at once, but gives the connections of requests for `held` to the story.
-fn holding_target() -> (SocketAddr, Receiver<TcpStream>) {
+/// An endpoint that answers everything at once, but hands the connections of requests for `held` to
+/// the test.
+fn start_holding_endpoint() -> (SocketAddr, Receiver<TcpStream>) {
     let ((listener, address), (hold, held)) = (listen(), channel());
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
             let hold = hold.clone();
             std::thread::spawn(move || {
                 loop {
-                    match message(&mut stream).split_once(" HTTP").map(|(line, _)| line.contains("held")) {
+                    match read_message(&mut stream)
+                        .split_once(" HTTP")
+                        .map(|(line, _)| line.contains("held"))
+                    {
                         Some(true) => return drop(hold.send(stream)),
                         Some(false) => stream.write_all(OK).expect("the sidecar reads"),
                         None => return,
@@ -37,39 +42,39 @@
 
 const OK: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// Connections that have each had an answer and are kept.
-fn kept(sidecar: &Running, count: usize) -> Vec<TcpStream> {
+/// Connections that have each received an answer and are kept.
+fn kept_clients(sidecar: &TestSidecar, count: usize) -> Vec<TcpStream> {
     let mut clients: Vec<_> = (0..count).map(|_| sidecar.client()).collect();
     for client in &mut clients {
-        assert!(served(client));
+        assert!(is_served(client));
     }
     clients
 }
 
-fn served(client: &mut TcpStream) -> bool {
+fn is_served(client: &mut TcpStream) -> bool {
     send(client, LOOK);
-    message(client).starts_with("HTTP/1.1 200")
+    read_message(client).starts_with("HTTP/1.1 200")
 }
 
-/// Guards against: the last free connections given away after the word to stop, when no new ones come: a front
-/// that finds none takes all clients away.
+/// Guards against giving away the last free connections after the stop event, when no new ones
+/// arrive: a front that finds none sends all its clients elsewhere.
 #[test]
-fn after_the_word_to_stop_some_connections_are_kept_free() {
-    let ((target, held), discovery) = (holding_target(), Peer::new());
-    let known = list(1, true, &[line("t0", target, "active")]);
-    // Time enough for the story before a held flow is refused at its aim.
-    let config = config(discovery.address, &known, 1024).replace("aim_ns\":1000", "aim_ns\":2900");
-    let sidecar = Running::start(&config);
-    let mut clients = kept(&sidecar, 8);
+fn some_connections_are_kept_free_after_stop() {
+    let ((endpoint, held), discovery) = (start_holding_endpoint(), ScriptedServer::new());
+    let known = list_json(1, true, &[instance_json("t0", endpoint, "active")]);
+    // Enough time for the test before a held request is refused at its latency target.
+    let config = config_json(discovery.address, &known, 1024).replace("aim_ns\":1000", "aim_ns\":2900");
+    let sidecar = TestSidecar::start(&config);
+    let mut clients = kept_clients(&sidecar, 8);
     for (i, client) in clients[2..].iter_mut().enumerate() {
         send(client, &LOOK.replace("/look/7", "/look/held").replace("c1", &format!("held{i}")));
     }
-    let held: Vec<_> = (0..6).map(|_| held.recv().expect("a forward")).collect();
+    let held: Vec<_> = (0..6).map(|_| held.recv().expect("an attempt")).collect();
     sidecar.stop();
     // One is free beside this one, of eight in use.
     let refusal = loop {
         send(&mut clients[0], LOOK);
-        let answer = message(&mut clients[0]);
+        let answer = read_message(&mut clients[0]);
         if !answer.starts_with("HTTP/1.1 200") {
             break answer;
         }
@@ -82,53 +87,54 @@
 
     refused
     ");
-    // Each forward that was out has its answer, and once they have freed others all are served again.
+    // Each open attempt gets its answer, and once these have freed others all are served again.
     for mut stream in held {
         stream.write_all(OK).expect("the sidecar reads");
     }
     for client in &mut clients[2..] {
-        assert!(message(client).starts_with("HTTP/1.1 200"));
+        assert!(read_message(client).starts_with("HTTP/1.1 200"));
     }
-    assert!(served(&mut clients[0]));
-    sidecar.ends();
+    assert!(is_served(&mut clients[0]));
+    sidecar.stop_and_join();
 }
 
-/// Guards against: silent and half-sent connections counted with those in use, so that two hundred of them made a
-/// sidecar with few kept ones refuse from 0.1 s after the word to stop until it gave its clients back.
+/// Guards against counting silent connections and those with partial requests as in use: two
+/// hundred of them made a sidecar with few kept connections refuse requests from 0.1 s after the
+/// stop event until it released its clients.
 #[test]
-fn silent_and_half_sent_connections_turn_nobody_away_before_a_stop() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let sidecar = Running::knowing(&[target.address], &discovery);
-    let _seen = target.echo();
-    let mut clients = kept(&sidecar, 2);
+fn silent_and_partial_requests_cause_no_refusal_after_stop() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
+    let _requests = endpoint.echo_requests();
+    let mut clients = kept_clients(&sidecar, 2);
     let mut silent: Vec<_> = (0..200).map(|_| sidecar.client()).collect();
     for client in &mut silent[..100] {
         send(client, "GET /look/7 HTTP/1.1\nX-");
     }
     sidecar.stop();
-    while !sidecar.ask(READY).starts_with("HTTP/1.1 503") {}
-    // Well into the time when only kept connections are in use.
-    let begun = Instant::now();
-    while begun.elapsed() < Duration::from_millis(600) {
-        assert!(served(&mut clients[0]), "{:?} after the word to stop", begun.elapsed());
+    while !sidecar.request(READY).starts_with("HTTP/1.1 503") {}
+    // Well into the period in which only kept connections are in use.
+    let start = Instant::now();
+    while start.elapsed() < Duration::from_millis(600) {
+        assert!(is_served(&mut clients[0]), "{:?} after the stop event", start.elapsed());
     }
     drop(silent);
-    sidecar.ends();
+    sidecar.stop_and_join();
 }
 
-/// Guards against: a request sent after the word to stop, on a connection that is still open, left without a whole
-/// answer: each gets one, or its connection was closed and nothing of it was sent on.
+/// Guards against a request sent after the stop event, on a connection that is still open, without
+/// a complete answer: each gets one, or its connection was closed and nothing of it was forwarded.
 #[test]
-fn each_request_on_a_kept_connection_is_answered_up_to_the_end() {
-    let (target, discovery) = (Peer::new(), Peer::new());
-    let sidecar = Running::knowing(&[target.address], &discovery);
-    let seen = target.echo();
-    let clients = kept(&sidecar, 4).into_iter().enumerate().map(|(i, mut client)| {
+fn request_on_kept_connection_is_answered_until_exit() {
+    let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
+    let sidecar = TestSidecar::with_endpoints(&[endpoint.address], &discovery);
+    let requests = endpoint.echo_requests();
+    let clients = kept_clients(&sidecar, 4).into_iter().enumerate().map(|(i, mut client)| {
         std::thread::spawn(move || {
             (0..).map(|n| format!("id{i}x{n}.")).find(|id| {
                 let request = LOOK.replace("c1", id).replace('\n', "\r\n");
                 let sent = client.write_all(request.as_bytes());
-                let answer = sent.map_or_else(|_| String::new(), |()| message(&mut client));
+                let answer = sent.map_or_else(|_| String::new(), |()| read_message(&mut client));
                 let whole = answer.ends_with("HTTP/1.1") || answer.ends_with("refused\n");
                 assert!(whole || answer.is_empty(), "{id}: {answer}");
                 answer.is_empty()
@@ -138,87 +144,107 @@
     let clients: Vec<_> = clients.collect();
     sidecar.stop();
     let unanswered: Vec<_> = clients.into_iter().filter_map(|c| c.join().expect("answers")).collect();
-    sidecar.ends();
-    let seen: String = seen.try_iter().collect();
+    sidecar.stop_and_join();
+    let requests: String = requests.try_iter().collect();
     assert_eq!(unanswered.len(), 4, "every connection is closed at last");
-    assert!(unanswered.iter().all(|id| !seen.contains(id)), "{unanswered:?} were sent on");
+    assert!(unanswered.iter().all(|id| !requests.contains(id)), "{unanswered:?} were forwarded");
 }
 
-/// Guards against: requests in the listener's queue reset with it, where a newer process takes all that comes.
+/// Guards against resetting requests in the listener's queue along with the listener, when a newer
+/// process takes all new connections.
 #[test]
 fn beside_a_newer_process_the_queue_is_served_and_the_listener_closed() {
-    let (target, discovery, (listener, address)) = (Peer::new(), Peer::new(), listen());
-    let known = list(1, true, &[line("t0", target.address, "active")]);
+    let (endpoint, discovery, (listener, address)) =
+        (ScriptedServer::new(), ScriptedServer::new(), listen());
+    let known = list_json(1, true, &[instance_json("t0", endpoint.address, "active")]);
     let state = tempfile::tempdir().expect("a directory");
     let directory = state.path().display().to_string();
-    let config = Config::parse(&config(discovery.address, &known, 1024), |name| {
+    let config = Config::parse(&config_json(discovery.address, &known, 1024), |name| {
         (name == "TMPDIR").then(|| directory.clone())
     });
-    let _seen = target.echo();
-    // The stream of words holds the sidecar's one thread until it is let go: nothing is accepted meanwhile.
-    let ((holds, held), (let_go, told)) = (channel(), channel());
-    let hold = async move {
-        holds.send(()).expect("the story goes on");
-        told.recv().expect("the story goes on");
+    let _requests = endpoint.echo_requests();
+    // The stream of control events blocks the sidecar's only thread until it is released: nothing
+    // is accepted meanwhile.
+    let ((blocked, is_blocked), (release, released)) = (channel(), channel());
+    let stop_event = async move {
+        blocked.send(()).expect("the test is running");
+        released.recv().expect("the test is running");
         ControlEvent::Stop
     };
-    let words = Box::pin(stream::once_future(hold).chain(stream::pending()));
+    let control_events = Box::pin(stream::once_future(stop_event).chain(stream::pending()));
     let config = config.expect("good");
-    let sidecar = std::thread::spawn(move || serve::run(config, listener, None, words).expect("it serves"));
-    held.recv().expect("it is held");
+    let sidecar =
+        std::thread::spawn(move || serve::run(config, listener, None, control_events).expect("it serves"));
+    is_blocked.recv().expect("it is blocked");
     let mut queued: Vec<_> = (0..20).map(|_| TcpStream::connect(address).expect("it listens")).collect();
     for (i, client) in queued.iter_mut().enumerate() {
         send(client, &LOOK.replace("c1", &format!("q{i}")));
     }
     std::fs::write(state.path().join(serve::PidFile::FILE_NAME), "1").expect("a file");
-    let_go.send(()).expect("it is held");
+    release.send(()).expect("it is blocked");
     for client in &mut queued {
-        assert!(message(client).starts_with("HTTP/1.1 200"));
-        assert_eq!(message(client), "", "in time it is sent to the newer one");
+        assert!(read_message(client).starts_with("HTTP/1.1 200"));
+        assert_eq!(
+            read_message(client),
+            "",
+            "after a while it is closed, so that its client goes to the newer one"
+        );
     }
-    assert!(TcpStream::connect(address).is_err(), "it takes no more");
+    assert!(TcpStream::connect(address).is_err(), "it accepts no more connections");
     drop(queued);
     sidecar.join().expect("it ends without a panic");
 }
 
-/// A sidecar whose disk hangs: what it writes of endpoints out by hand goes to a pipe at first, and stays there until
-/// somebody reads it. It has been told to take `t0` out and then `t1`, and to stop; yields its end.
-fn stopping_on_a_hung_disk(state: &Path) -> (PathBuf, Receiver<()>) {
+/// Starts a sidecar whose disk hangs: what it writes of disabled endpoints goes to a pipe at first,
+/// and stays there until the pipe is read. It has been told to disable `t0` and then `t1`, and to
+/// stop. Returns the pipe and the notice of its end.
+fn stop_on_a_hung_disk(state: &Path) -> (PathBuf, Receiver<()>) {
     let pipe = state.join(DISABLED_FILE).with_extension(format!("{}.new", std::process::id()));
-    make_pipe(&pipe);
-    let (target, discovery) = (Peer::new().address, Peer::new());
-    let known = list(1, true, &[line("t0", target, "active"), line("t1", target, "active")]);
-    let (sidecar, console) = Running::with_console(&config(discovery.address, &known, 1024), Some(state));
-    assert_eq!(call(console, "OFFLINE t0") + &call(console, "OFFLINE t1"), "+OK\n+OK\n");
+    create_pipe(&pipe);
+    let (endpoint, discovery) = (ScriptedServer::new().address, ScriptedServer::new());
+    let known = list_json(
+        1,
+        true,
+        &[instance_json("t0", endpoint, "active"), instance_json("t1", endpoint, "active")],
+    );
+    let (sidecar, console) =
+        TestSidecar::with_console(&config_json(discovery.address, &known, 1024), Some(state));
+    assert_eq!(
+        console_command(console, "OFFLINE t0") + &console_command(console, "OFFLINE t1"),
+        "+OK\n+OK\n"
+    );
     let (end, ended) = channel();
     std::thread::spawn(move || {
-        sidecar.ends();
+        sidecar.stop_and_join();
         end.send(())
     });
     (pipe, ended)
 }
 
-/// Guards against: a process that ends, its clients gone, before an endpoint that it said to be out is written down.
+/// Guards against a process that ends, once its clients are gone, before an endpoint that it
+/// reported as disabled is written down.
 #[test]
-fn endpoints_out_by_hand_are_written_before_the_end() {
+fn disabled_endpoints_are_written_before_exit() {
     let state = tempfile::tempdir().expect("a directory");
-    let (pipe, ended) = stopping_on_a_hung_disk(state.path());
-    // Without clients it would end 0.7 s after the word.
+    let (pipe, ended) = stop_on_a_hung_disk(state.path());
+    // Without clients it would end 0.7 s after the stop event.
     assert!(ended.recv_timeout(Duration::from_millis(1500)).is_err(), "it ends before all is written");
-    let read = std::fs::read_to_string(pipe).expect("the disk comes round");
+    let read = std::fs::read_to_string(pipe).expect("the disk recovers");
     ended.recv().expect("it ends");
-    // Both endpoints may have gone through the pipe, which is then in the file's place; or the second text is the file.
+    // Both endpoints may have gone through the pipe, which is then in the file's place; otherwise
+    // the second text is in the file.
     let both = r#"["t0","t1"]"#;
     assert!(
         read == both || std::fs::read_to_string(state.path().join(DISABLED_FILE)).expect("a file") == both
     );
 }
 
-/// Guards against: a disk that hangs keeping a process beyond the time when SIGKILL may come.
+/// Guards against a hung disk that delays the end of a process beyond the time when SIGKILL may
+/// come.
 #[test]
-fn a_hung_disk_is_waited_for_no_longer_than_until_sigkill() {
+fn hung_disk_delays_exit_no_longer_than_until_sigkill() {
     let state = tempfile::tempdir().expect("a directory");
-    let (pipe, ended) = stopping_on_a_hung_disk(state.path());
-    ended.recv_timeout(Duration::from_secs(10)).expect("it ends 3.7 s after the word");
-    std::fs::read_to_string(pipe).expect("the thread is let go");
+    let (pipe, ended) = stop_on_a_hung_disk(state.path());
+    ended.recv_timeout(Duration::from_secs(10)).expect("it ends 3.7 s after the stop event");
+    std::fs::read_to_string(pipe).expect("the thread is released");
 }
