--- a/crates/program/src/metrics.rs
+++ b/crates/program/src/metrics.rs
@@ -21,8 +21,8 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-/// Time limit for a whole request. One is served at a time, so that none holds memory or
-/// descriptors.
+/// Time limit for a whole request. One connection is served at a time, so that clients cannot occupy
+/// more memory or descriptors than that.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
@@ -36,7 +36,7 @@
     standing: &'static str,
 }
 
-/// Serves metrics, which it takes from these parts.
+/// Serves the metrics endpoint; the values are read from these parts of the sidecar.
 pub struct MetricsServer {
     /// The core.
     pub sidecar: Rc<Sidecar>,
--- a/crates/program/src/serve.rs
+++ b/crates/program/src/serve.rs
@@ -285,21 +285,21 @@
     }
 }
 
-/// Maximum numbers of connections to clients and to endpoints. The system may allow fewer
-/// descriptors than the settings name: both maxima are lowered then, so that clients that use up
-/// theirs leave discovery, console and endpoints enough.
+/// The maximum numbers of client connections and of endpoint connections. If the system allows fewer
+/// descriptors than the settings, both are reduced, so that clients at their maximum leave enough
+/// descriptors for discovery, the console and endpoints.
 fn connection_limits(config: &Config) -> (usize, usize) {
-    let (clients, targets) = (config.client_connections, config.target_connections);
+    let (clients, endpoints) = (config.client_connections, config.target_connections);
     let limits = std::fs::read_to_string("/proc/self/limits").unwrap_or_default();
     let open_files_limit =
         limits.lines().find_map(|l| l.strip_prefix("Max open files")?.split_whitespace().next());
     let Some(open_files_limit) =
         open_files_limit.and_then(|open_files_limit| open_files_limit.parse::<usize>().ok())
     else {
-        return (clients, targets);
+        return (clients, endpoints);
     };
-    let available = open_files_limit.saturating_sub(OWN_DESCRIPTORS).clamp(2, clients + targets);
-    let clients = (clients * available / (clients + targets)).max(1);
+    let available = open_files_limit.saturating_sub(OWN_DESCRIPTORS).clamp(2, clients + endpoints);
+    let clients = (clients * available / (clients + endpoints)).max(1);
     (clients, available - clients)
 }
 
