--- a/crates/lab/src/scale/host/hollow.rs
+++ b/crates/lab/src/scale/host/hollow.rs
@@ -118,7 +118,7 @@
     Terms {
         connect_timeout: config.platform.connect_timeout,
         idle: config.platform.conn_idle,
-        connections: config.target_connections,
+        connections: config.endpoint_connections,
         fields: config.platform.fields.clone(),
         field_names: config.platform.field_names.clone(),
     }
--- a/crates/program/src/config.rs
+++ b/crates/program/src/config.rs
@@ -124,7 +124,7 @@
     /// Maximum number of client connections.
     pub client_connections: usize,
     /// Maximum number of connections to endpoints.
-    pub target_connections: usize,
+    pub endpoint_connections: usize,
     /// The last known endpoint list, if any.
     pub known: Option<Answer>,
     /// The platform's settings.
@@ -190,7 +190,7 @@
             discovery: address("discovery", file.discovery, "NODE_DISCOVERY")?,
             seed: file.seed.map_or_else(|| fastrand::u64(..), |Seed(seed)| seed),
             client_connections: available * 5 / 8,
-            target_connections: available * 3 / 8,
+            endpoint_connections: available * 3 / 8,
             known,
             platform,
         })
@@ -212,7 +212,7 @@
         self.discovery = new.discovery;
         self.platform = new.platform;
         self.client_connections = new.client_connections;
-        self.target_connections = new.target_connections;
+        self.endpoint_connections = new.endpoint_connections;
         let mut summary = format!("configuration reloaded; discovery at {}", self.discovery);
         if settings_changed {
             summary += &format!("; new settings, classes {}", self.platform.classes.join(", "));
@@ -236,7 +236,7 @@
         writeln!(
             f,
             "connections  {} clients, {} targets",
-            self.client_connections, self.target_connections
+            self.client_connections, self.endpoint_connections
         )?;
         match &self.known {
             Some(known) => write!(f, "known        list {}", known.generation),
--- a/crates/program/src/serve.rs
+++ b/crates/program/src/serve.rs
@@ -289,7 +289,7 @@
 /// descriptors than the settings, both are reduced, so that clients at their maximum leave enough
 /// descriptors for discovery, the console and endpoints.
 fn connection_limits(config: &Config) -> (usize, usize) {
-    let (clients, endpoints) = (config.client_connections, config.target_connections);
+    let (clients, endpoints) = (config.client_connections, config.endpoint_connections);
     let limits = std::fs::read_to_string("/proc/self/limits").unwrap_or_default();
     let open_files_limit =
         limits.lines().find_map(|l| l.strip_prefix("Max open files")?.split_whitespace().next());
