--- a/crates/program/tests/config.rs
+++ b/crates/program/tests/config.rs
@@ -204,8 +204,8 @@
 }
 
 /// Guards against rejecting settings that a deployment may have: no tenants, shares that are
-/// rounded or left out, a quota or a worth of 0, endpoints that start warm or are never marked
-/// down, an index beyond a count that is out of date.
+/// rounded or left out, a quota or a worth of 0, endpoints that start warm or never fall over while
+/// cold, an index beyond a count that is out of date.
 #[test]
 fn settings_that_a_deployment_may_have_are_accepted() {
     for (from, to) in [
