--- a/crates/lab/src/scale/host/hollow.rs
+++ b/crates/lab/src/scale/host/hollow.rs
@@ -118,7 +118,7 @@
     PoolSettings {
         connect_timeout: config.platform.connect_timeout,
         idle_timeout: config.platform.conn_idle,
-        max_connections: config.target_connections,
+        max_connections: config.endpoint_connections,
         fields: config.platform.fields.clone(),
         field_names: config.platform.field_names.clone(),
     }
