--- a/crates/lab/src/prove/lab/mod.rs
+++ b/crates/lab/src/prove/lab/mod.rs
@@ -1,4 +1,4 @@
-//! The emulator proves itself.
+//! Checks of the emulator itself: queueing formulas, conservation, rule checkers, determinism, speed and memory.
 
 mod queues;
 
@@ -10,12 +10,12 @@
 use crate::world::{Rule, World};
 use cottonpoint_decide::{Settings, Time};
 use cottonpoint_file::TomlText;
-use queues::closed_forms;
+use queues::check_closed_forms;
 use std::path::Path;
 use std::time::Instant;
 
-/// A busy day of two tiers with every kind of trouble, for checks that look at every moment.
-fn rough(seed: u64) -> String {
+/// A scenario of two tiers under high load with every kind of trouble, for checks that have to hold at any moment.
+fn stress_scenario(seed: u64) -> String {
     let kinds = [
         "slow",
         "fast-errors",
@@ -127,73 +127,75 @@
     )
 }
 
-/// Plays a rough day event by event and audits it; returns events, audits and the first thing that did not add
-/// up.
+/// Simulates a run of the stress scenario event by event and audits the emulator after every `audit_every` events.
+/// Returns the number of events, the number of audits and the first failure, if any.
 pub fn conserve(seed: u64, policy: Policy, audit_every: u64) -> (u64, u64, Option<String>) {
-    let scenario = match Scenario::parse("(proof)", &rough(seed)) {
+    let scenario = match Scenario::parse("(proof)", &stress_scenario(seed)) {
         Ok(scenario) => scenario,
         Err(e) => return (0, 0, Some(e.to_string())),
     };
-    let maker = move |settings, seed, now| policy.make(settings, seed, now);
-    let mut world = World::new(&scenario, seed, &maker);
+    let make_decider = move |settings, seed, now| policy.make(settings, seed, now);
+    let mut world = World::new(&scenario, seed, &make_decider);
     let (mut events, mut audits) = (0, 0);
     while world.step() {
         events += 1;
         if events % audit_every == 0 {
             audits += 1;
-            if let Err(why) = world.audit() {
-                return (events, audits, Some(format!("seed {seed}, event {events}: {why}")));
+            if let Err(error) = world.audit() {
+                return (events, audits, Some(format!("seed {seed}, event {events}: {error}")));
             }
         }
     }
-    let end = world.audit().err();
-    let left = world.held();
-    let open =
-        (left[1] + left[2] + left[3] > 0).then(|| format!("seed {seed}: left open at the end: {left:?}"));
-    (events, audits + 1, end.or(open))
+    let audit_error = world.audit().err();
+    let remaining = world.held();
+    let left_open = (remaining[1] + remaining[2] + remaining[3] > 0)
+        .then(|| format!("seed {seed}: left open at the end: {remaining:?}"));
+    (events, audits + 1, audit_error.or(left_open))
 }
 
-fn conservation(short: bool, claims: &mut Vec<Claim>) {
-    let (mut events, mut audits, mut wrong) = (0, 0, None);
+fn check_conservation(short: bool, claims: &mut Vec<Claim>) {
+    let (mut events, mut audits, mut failure) = (0, 0, None);
     for seed in 0..if short { 6 } else { 100 } {
         for policy in ["ours", "p2c+aimd"] {
             let Ok(policy) = policy.parse() else { continue };
-            let (e, a, w) = conserve(seed, policy, 50);
-            (events, audits, wrong) = (events + e, audits + a, wrong.or(w));
+            let (run_events, run_audits, run_failure) = conserve(seed, policy, 50);
+            (events, audits, failure) = (events + run_events, audits + run_audits, failure.or(run_failure));
         }
     }
     claims.push(Claim::new(
         "requests and work are conserved on days with every trouble",
         "nothing lost or made at any audit, nothing left open",
-        wrong.clone().unwrap_or_else(|| format!("{audits} audits over {events} events")),
-        wrong.is_none() && audits > 0,
+        failure.clone().unwrap_or_else(|| format!("{audits} audits over {events} events")),
+        failure.is_none() && audits > 0,
     ));
 }
 
-/// The day on which a rule is most easily broken.
-pub fn broken_day(rule: Rule) -> String {
-    let day = rough(1);
+/// The scenario in which a policy that ignores the rule breaks it most easily.
+pub fn scenario_that_breaks(rule: Rule) -> String {
+    let scenario = stress_scenario(1);
     match rule {
-        Rule::Cold => day.replace("of_capacity = 0.7", "of_capacity = 0.5"),
-        _ => day,
+        Rule::Cold => scenario.replace("of_capacity = 0.7", "of_capacity = 0.5"),
+        _ => scenario,
     }
 }
 
-/// Breaches of each rule by a policy that breaks one, in the order of [`Rule::ALL`].
+/// The number of breaches of each rule, in the order of [`Rule::ALL`], by a policy that breaks the given rule, or by
+/// the balancer if none is given.
 pub fn breaches(rule: Option<Rule>) -> [u64; 5] {
-    let Ok(scenario) = Scenario::parse("(proof)", &broken_day(rule.unwrap_or(Rule::Drains))) else {
+    let Ok(scenario) = Scenario::parse("(proof)", &scenario_that_breaks(rule.unwrap_or(Rule::Drains)))
+    else {
         return [0; 5];
     };
-    let maker = move |settings: Settings, seed, now: Time| -> Box<dyn Decider> {
+    let make_decider = move |settings: Settings, seed, now: Time| -> Box<dyn Decider> {
         match rule {
             Some(rule) => Box::new(Breaks::new(rule, settings, seed, now)),
             None => Policy::Ours.make(settings, seed, now),
         }
     };
-    World::new(&scenario, 1, &maker).play().breach_count
+    World::new(&scenario, 1, &make_decider).play().breach_count
 }
 
-fn rule_checkers(claims: &mut Vec<Claim>) {
+fn check_rule_checkers(claims: &mut Vec<Claim>) {
     for (i, rule) in Rule::ALL.into_iter().enumerate() {
         let found = breaches(Some(rule))[i];
         claims.push(Claim::new(
@@ -203,25 +205,25 @@
             found > 0,
         ));
     }
-    let ours = breaches(None);
+    let balancer_breaches = breaches(None);
     claims.push(Claim::new(
         "our policy on the same rough day",
         "no breach",
-        format!("{} breaches", ours.iter().sum::<u64>()),
-        ours.iter().all(|n| *n == 0),
+        format!("{} breaches", balancer_breaches.iter().sum::<u64>()),
+        balancer_breaches.iter().all(|n| *n == 0),
     ));
 }
 
-fn same_on_all_threads(claims: &mut Vec<Claim>) {
-    let Ok(scenario) = Scenario::parse("(proof)", &rough(3)) else { return };
+fn check_thread_independence(claims: &mut Vec<Claim>) {
+    let Ok(scenario) = Scenario::parse("(proof)", &stress_scenario(3)) else { return };
     let tasks: Vec<Task<'_>> =
         (0..8).map(|seed| Task { scenario: &scenario, seed, policy: Policy::Ours }).collect();
-    let on = |threads| {
+    let play_on = |threads| {
         let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build();
         let played = pool.map(|p| p.install(|| experiment::play_all(&tasks, "threads")));
         played.ok().and_then(|p| serde_json::to_string(&p).ok())
     };
-    let (one, four) = (on(1), on(4));
+    let (one, four) = (play_on(1), play_on(4));
     claims.push(Claim::new(
         "eight seeds on one thread and on four",
         "the same bytes",
@@ -230,10 +232,10 @@
     ));
 }
 
-fn speed(short: bool, claims: &mut Vec<Claim>) {
+fn check_speed_and_memory(short: bool, claims: &mut Vec<Claim>) {
     let shipped =
         |name: &str| TomlText::load(&Path::new("lab/scenarios").join(name).with_extension("toml")).ok();
-    let long = |text: &TomlText, length: &str| {
+    let with_length = |text: &TomlText, length: &str| {
         let set = [("length".to_owned(), length.to_owned())];
         text.with_overrides(&set).and_then(|text| Scenario::read(&text))
     };
@@ -245,63 +247,66 @@
             false,
         ));
     };
-    if let Ok(scenario) = long(&text, "60s") {
-        let begun = Instant::now();
+    if let Ok(scenario) = with_length(&text, "60s") {
+        let started = Instant::now();
         let played = experiment::play(&scenario, 1, Policy::Ours);
-        let took = begun.elapsed().as_secs_f64();
+        let elapsed = started.elapsed().as_secs_f64();
         claims.push(Claim::new(
             "a minute of the gallery on one core",
             "under 1 s",
-            format!("{took:.2} s, {:.2} million events a second", played.happened as f64 / took / 1e6),
-            took < 1.0,
+            format!(
+                "{elapsed:.2} s, {:.2} million events a second",
+                played.happened as f64 / elapsed / 1e6
+            ),
+            elapsed < 1.0,
         ));
     }
     if short {
         return;
     }
-    if let Some(scenario) = shipped("wide").and_then(|t| long(&t, "20s").ok()) {
-        let begun = Instant::now();
+    if let Some(scenario) = shipped("wide").and_then(|t| with_length(&t, "20s").ok()) {
+        let started = Instant::now();
         let played = experiment::play(&scenario, 1, Policy::Ours);
-        let (took, day) = (begun.elapsed().as_secs_f64(), scenario.length.seconds());
+        let (elapsed, simulated) = (started.elapsed().as_secs_f64(), scenario.length.seconds());
         claims.push(Claim::new(
             "200 sidecars, 2,000 servers, 50,000 requests a second, on one core",
             "none; faster than real time is the aim",
             format!(
-                "{day:.0} s in {took:.1} s, {:.2} million events a second, {} clients",
-                played.happened as f64 / took / 1e6,
+                "{simulated:.0} s in {elapsed:.1} s, {:.2} million events a second, {} clients",
+                played.happened as f64 / elapsed / 1e6,
                 played.book.arrived
             ),
             true,
         ));
     }
-    if let Ok(scenario) = long(&text, "3600s") {
-        let maker = |settings, seed, now| Policy::Ours.make(settings, seed, now);
-        let mut world = World::new(&scenario, 1, &maker);
-        let (mut most, mut quarter, mut by_quarter) = (0, 0, Vec::new());
+    if let Ok(scenario) = with_length(&text, "3600s") {
+        let make_decider = |settings, seed, now| Policy::Ours.make(settings, seed, now);
+        let mut world = World::new(&scenario, 1, &make_decider);
+        let (mut max_held, mut quarters, mut max_by_quarter) = (0, 0, Vec::new());
         while world.step() {
-            most = most.max(world.held().iter().sum::<usize>());
-            if world.now() >= (quarter + 1) * 900_000_000_000 && quarter < 4 {
-                by_quarter.push(std::mem::take(&mut most));
-                quarter += 1;
+            max_held = max_held.max(world.held().iter().sum::<usize>());
+            if world.now() >= (quarters + 1) * 900_000_000_000 && quarters < 4 {
+                max_by_quarter.push(std::mem::take(&mut max_held));
+                quarters += 1;
             }
         }
-        let flat = by_quarter.len() == 4 && by_quarter[3] <= by_quarter[0] * 2;
+        let stable = max_by_quarter.len() == 4 && max_by_quarter[3] <= max_by_quarter[0] * 2;
         claims.push(Claim::new(
             "things held in memory over a simulated hour, most by quarters",
             "the last quarter no more than twice the first",
-            format!("{by_quarter:?}"),
-            flat,
+            format!("{max_by_quarter:?}"),
+            stable,
         ));
     }
 }
 
-/// Closed forms, conservation, rule checkers, threads, speed, memory.
+/// Checks closed forms, conservation, rule checkers, independence of the number of threads, speed and memory.
 pub fn prove(short: bool) -> Vec<Claim> {
     let mut claims = Vec::new();
-    closed_forms(short, &mut claims);
-    conservation(short, &mut claims);
-    rule_checkers(&mut claims);
-    same_on_all_threads(&mut claims);
-    speed(short, &mut claims);
+    check_closed_forms(short, &mut claims);
+    check_conservation(short, &mut claims);
+    check_rule_checkers(&mut claims);
+    check_thread_independence(&mut claims);
+    check_speed_and_memory(short, &mut claims);
     claims
 }
--- a/crates/lab/src/prove/lab/queues.rs
+++ b/crates/lab/src/prove/lab/queues.rs
@@ -1,4 +1,4 @@
-//! Plain queues against their closed forms.
+//! Compares simulated queues with the closed forms of queueing theory.
 
 use crate::experiment;
 use crate::policies::Policy;
@@ -6,9 +6,10 @@
 use crate::scenario::Scenario;
 use rayon::prelude::*;
 
-/// One tier, one class, one sidecar without a limit: a plain queue.
-fn queue(rate: f64, cores: u32, slots: u32, law: &str, length_s: u64) -> String {
-    // The slots are per core; a huge waiting room and no patience at all: nobody is turned away.
+/// The text of a scenario that is a plain queue: one tier, one class and one sidecar without a limit.
+fn queue_scenario(rate: f64, cores: u32, slots: u32, law: &str, length_s: u64) -> String {
+    // Slots are per core. The huge queue, the absence of impatient clients and the client timeout of 1000 s ensure
+    // that no request is refused or abandoned.
     format!(
         r#"
 name = "queue"
@@ -52,20 +53,20 @@
     )
 }
 
-/// Mean time in the system in milliseconds, over some seeds.
+/// Mean time that a request spends in the system in milliseconds, averaged over seeds.
 fn mean_time(text: &str, seeds: u64) -> f64 {
     let Ok(scenario) = Scenario::parse("(proof)", text) else { return f64::NAN };
     let policy = Policy::Rival(crate::policies::Choice::RoundRobin, crate::policies::Limiting::None, false);
     let means = (0..seeds).into_par_iter().map(|seed| {
         let played = experiment::play(&scenario, seed, policy);
-        // The histogram holds two digits; over many values its mean is much finer.
+        // The histogram records two significant digits. Its mean over many values is much more precise.
         played.book.times.mean() / 1e3
     });
-    // Summed in the order of the seeds, so that threads change no digit.
+    // The sum is in the order of the seeds, so that the number of threads does not change the rounding.
     means.collect::<Vec<f64>>().iter().sum::<f64>() / seeds as f64
 }
 
-/// Erlang's C: the share that waits with `c` servers and an offered load of `a` (Erlang, 1917).
+/// The Erlang C formula: the share of requests that wait, with `c` servers and an offered load of `a` (Erlang, 1917).
 fn erlang_c(c: u32, a: f64) -> f64 {
     let mut term = 1.0;
     let mut sum = 0.0;
@@ -73,42 +74,46 @@
         sum += term;
         term *= a / f64::from(k + 1);
     }
-    let last = term * f64::from(c) / (f64::from(c) - a);
-    last / (sum + last)
+    let waiting = term * f64::from(c) / (f64::from(c) - a);
+    waiting / (sum + waiting)
 }
 
-pub(super) fn closed_forms(short: bool, claims: &mut Vec<Claim>) {
-    // The mean service time is 10 ms. Pollaczek and Khinchine: wait = rho (1 + cv^2) / 2 / (1 - rho) * s.
+pub(super) fn check_closed_forms(short: bool, claims: &mut Vec<Claim>) {
+    // The mean service time is 10 ms. Pollaczek-Khinchine formula: wait = rho (1 + cv^2) / 2 / (1 - rho) * s.
     let (s, rho) = (10.0, 0.7);
-    let mut forms = vec![
-        ("M/M/1 at 70%", queue(70.0, 1, 1, r#"law = "exponential""#, 2000), s / (1.0 - rho)),
-        ("M/D/1 at 70%", queue(70.0, 1, 1, r#"law = "fixed""#, 2000), s + s * rho / 2.0 / (1.0 - rho)),
+    let mut queues = vec![
+        ("M/M/1 at 70%", queue_scenario(70.0, 1, 1, r#"law = "exponential""#, 2000), s / (1.0 - rho)),
+        (
+            "M/D/1 at 70%",
+            queue_scenario(70.0, 1, 1, r#"law = "fixed""#, 2000),
+            s + s * rho / 2.0 / (1.0 - rho),
+        ),
         (
             "M/G/1 at 70%, log-normal of cv 1.5",
-            queue(70.0, 1, 1, "cv = 1.5", 2000),
+            queue_scenario(70.0, 1, 1, "cv = 1.5", 2000),
             s + s * rho * (1.0 + 1.5 * 1.5) / 2.0 / (1.0 - rho),
         ),
         (
             "M/G/1 with shared cores (insensitive to the law)",
-            queue(70.0, 1, 1000, "cv = 1.5", 2000),
+            queue_scenario(70.0, 1, 1000, "cv = 1.5", 2000),
             s / (1.0 - rho),
         ),
     ];
     for cores in [4_u32, 16] {
         let a = f64::from(cores) * 0.8;
-        let time = s + erlang_c(cores, a) * s / (f64::from(cores) - a);
+        let expected = s + erlang_c(cores, a) * s / (f64::from(cores) - a);
         let name = if cores == 4 { "M/M/4 at 80%" } else { "M/M/16 at 80%" };
-        forms.push((name, queue(100.0 * a, cores, 1, r#"law = "exponential""#, 2000), time));
+        queues.push((name, queue_scenario(100.0 * a, cores, 1, r#"law = "exponential""#, 2000), expected));
     }
     let seeds = if short { 4 } else { 40 };
-    for (name, text, expected) in forms {
+    for (name, text, expected) in queues {
         let measured = mean_time(&text, seeds);
-        let off = (measured - expected) / expected;
+        let deviation = (measured - expected) / expected;
         claims.push(Claim::new(
             format!("mean time in {name}"),
             format!("{expected:.3} ms within 3%"),
-            format!("{measured:.3} ms, {:+.2}%", off * 100.0),
-            off.abs() <= 0.03,
+            format!("{measured:.3} ms, {:+.2}%", deviation * 100.0),
+            deviation.abs() <= 0.03,
         ));
     }
 }
--- a/crates/lab/src/prove/mod.rs
+++ b/crates/lab/src/prove/mod.rs
@@ -1,5 +1,5 @@
-//! Proofs: the one command behind every claim. Each runs what a subsystem must show and says for each claim what
-//! was measured, against which bound, and whether it is kept.
+//! Proofs: the checks behind the project's published claims. A proof exercises one subsystem and reports for each
+//! claim the measured value, the bound and whether the bound is kept.
 
 pub mod fleet;
 pub mod hunted;
@@ -14,9 +14,9 @@
 pub struct Claim {
     /// What is claimed.
     pub claim: String,
-    /// The bound that it must keep, in words.
+    /// The bound that the measured value has to keep, as text.
     pub bound: String,
-    /// What was measured, in words.
+    /// The measured value, as text.
     pub measured: String,
     /// Whether the bound is kept.
     pub kept: bool,
@@ -34,13 +34,13 @@
     }
 }
 
-/// A proof: its name, what it shows, and how; the argument asks for the short form.
+/// A proof: a set of claims that are checked together.
 pub struct Proof {
     /// Its name on the command line.
     pub name: &'static str,
-    /// What it shows.
+    /// What the claims are about.
     pub about: &'static str,
-    /// Runs it. The short form ends within 30 s.
+    /// Checks the claims. The argument selects the short form, which ends within 30 s.
     pub run: fn(short: bool) -> Vec<Claim>,
 }
 
@@ -68,7 +68,7 @@
     },
 ];
 
-/// The claims as a table.
+/// Formats claims as a Markdown table.
 pub fn table(claims: &[Claim]) -> Table {
     let mut table = Table::new();
     table.load_style(comfy_table::presets::ASCII_MARKDOWN);
--- a/crates/lab/src/prove/peers.rs
+++ b/crates/lab/src/prove/peers.rs
@@ -1,5 +1,6 @@
-//! What the membership plane owes (`docs/design/peers.md`), on fleets of 3, 10, 50 and (in full) 500 in virtual time.
-//! Each claim on one of its parts is seen to fail with that part taken out.
+//! Claims on the membership protocol (`docs/design/peers.md`), checked on fleets of 3, 10, 50 and (in the full form)
+//! 500 members in virtual time. Claims that rest on one part of the protocol are also checked to fail with that part
+//! disabled.
 
 use super::Claim;
 use crate::fleet::plays::{self, Loss, NEVER, Split, Stopped, T, agreement_bound, bound_nanos};
@@ -9,35 +10,38 @@
 use rayon::prelude::*;
 use std::path::Path;
 
-/// Members, fleets, and crashes of each fleet: in short and in full. Large fleets are played in full only.
+/// For each number of members the number of fleets and of crashes in each fleet, in the short and in the full form. The
+/// largest fleets are simulated in the full form only.
 const SIZES: [(usize, [(u64, u64); 2]); 4] = [
     (3, [(60, 2), (400, 2)]),
     (10, [(40, 2), (400, 2)]),
     (50, [(8, 2), (100, 3)]),
     (500, [(0, 0), (4, 25)]),
 ];
-/// Periods for which each fleet is played under loss.
-const PERIODS: u64 = 100;
-/// Bytes a second of one member in a large fleet against 50: flat, but for chance.
-const FLAT: f64 = 1.25;
-/// Suspicions against what chance alone brings: all of 3 helpers are at hand nearly always.
-const SUSPICIONS: f64 = 1.25;
-/// Members wrongly held dead at 30% loss, for each member-period: more than two packets in three have to come
-/// through for the plane to be of use, and this is where it stops to be.
-const DEATHS: f64 = 0.01;
-/// The share of packets sent again.
-const AGAIN: f64 = 0.2;
-/// How long processes stand still, in halves of a period.
-const STOPS: [u64; 4] = [1, 4, 20, 120];
-/// After which times a process starts again at its address, in tenths of a period.
-const RESTARTS: [u64; 4] = [1, 20, 200, 1000];
+/// Protocol periods for which each fleet is simulated under packet loss.
+const LOSS_PERIODS: u64 = 100;
+/// The largest ratio of the bytes per second that a member sends in a large fleet to those in a fleet of 50. The rate
+/// must not grow with the size of the fleet; the excess over 1 allows for chance.
+const MAX_BYTES_RATIO: f64 = 1.25;
+/// The largest ratio of suspicions to those expected from packet loss alone. The expectation assumes that all 3 helpers
+/// of an indirect probe are available, which nearly always holds.
+const MAX_SUSPICION_RATIO: f64 = 1.25;
+/// The largest number of live members declared dead per member-period at 30% loss. The protocol needs more than two
+/// packets in three to arrive, and 30% loss is the limit of its usefulness.
+const MAX_DEATHS_PER_MEMBER_PERIOD: f64 = 0.01;
+/// The share of packets that are replayed.
+const REPLAYED_SHARE: f64 = 0.2;
+/// For how long processes are stopped, in halves of a period.
+const STOP_HALF_PERIODS: [u64; 4] = [1, 4, 20, 120];
+/// After how long a process is restarted at its address, in tenths of a period.
+const RESTART_TENTH_PERIODS: [u64; 4] = [1, 20, 200, 1000];
 
-/// A time in periods.
-fn periods(time: u64) -> String {
+/// Formats a time in nanoseconds as a number of periods.
+fn format_periods(time: u64) -> String {
     if time == NEVER { "never".into() } else { format!("{:.1} T", time as f64 / T as f64) }
 }
 
-/// The figure that a share of all does not exceed.
+/// The smallest time that at least the given share of all times does not exceed; [`NEVER`] if there are none.
 fn quantile(times: &[u64], share: f64) -> u64 {
     let mut times = times.to_vec();
     times.sort_unstable();
@@ -45,57 +49,64 @@
     times.get(at - 1).copied().unwrap_or(NEVER)
 }
 
-/// A claim on the worst of some times.
-fn within(claim: String, times: &[u64], bound: u64) -> Claim {
+/// A claim that the longest of some times keeps a bound.
+fn worst_case_claim(claim: String, times: &[u64], bound: u64) -> Claim {
     let worst = quantile(times, 1.0);
-    let measured =
-        format!("p50 {}, worst {} of {}", periods(quantile(times, 0.5)), periods(worst), times.len());
-    Claim::new(claim, format!("{} at most", periods(bound)), measured, worst <= bound)
+    let measured = format!(
+        "p50 {}, worst {} of {}",
+        format_periods(quantile(times, 0.5)),
+        format_periods(worst),
+        times.len()
+    );
+    Claim::new(claim, format!("{} at most", format_periods(bound)), measured, worst <= bound)
 }
 
-/// 3 T, the suspicion time once confirmed, and dissemination.
-fn known(n: usize) -> u64 {
+/// The bound on the time until all know of a crash: 3 T, the confirmed suspicion timeout and the dissemination time.
+fn crash_known_bound(n: usize) -> u64 {
     agreement_bound(n) + bound_nanos(bounds::suspicion_min, n)
 }
 
-/// Suspicions that loss alone brings in each member-period: the direct exchange fails, and each helper's.
-fn chance(n: usize, loss: f64) -> f64 {
-    let passes = 1.0 - loss;
-    let helper = 1.0 - passes.powi(4);
-    (1.0 - passes * passes) * helper.powi(n.saturating_sub(2).min(bounds::HELPERS) as i32)
+/// The expected number of suspicions per member-period from packet loss alone: the direct probe fails, and so does the
+/// indirect probe through each helper.
+fn expected_suspicions(n: usize, loss: f64) -> f64 {
+    let delivered = 1.0 - loss;
+    let indirect_fails = 1.0 - delivered.powi(4);
+    (1.0 - delivered * delivered) * indirect_fails.powi(n.saturating_sub(2).min(bounds::HELPERS) as i32)
 }
 
+/// Checks that can run in parallel with others.
 type Job<'a> = Box<dyn Fn() -> Vec<Claim> + Send + Sync + 'a>;
 
-/// Fleets of one size that have come to agree.
+/// Fleets of one size in which all members have come to agree, each with the time that this took.
 struct Fleets {
     n: usize,
     crashes: u64,
-    all: Vec<(Fleet, u64)>,
+    settled: Vec<(Fleet, u64)>,
 }
 
 impl Fleets {
     fn new(n: usize, seeds: u64, crashes: u64) -> Fleets {
-        Fleets { n, crashes, all: (1..=seeds).into_par_iter().map(|s| plays::started(n, s)).collect() }
+        Fleets { n, crashes, settled: (1..=seeds).into_par_iter().map(|s| plays::started(n, s)).collect() }
     }
 
-    /// One figure of each fleet.
-    fn each<R: Send>(&self, play: impl Fn(&Fleet) -> R + Sync) -> Vec<R> {
-        self.all.par_iter().map(|(fleet, _)| play(fleet)).collect()
+    /// Simulates each fleet from its settled state; the results are in the order of the fleets.
+    fn for_each_fleet<R: Send>(&self, play: impl Fn(&Fleet) -> R + Sync) -> Vec<R> {
+        self.settled.par_iter().map(|(fleet, _)| play(fleet)).collect()
     }
 
-    fn named(&self, claim: &str) -> String {
+    fn with_size(&self, claim: &str) -> String {
         format!("{claim}, {} members", self.n)
     }
 
     fn crashes(&self) -> Vec<Vec<u64>> {
-        let times =
-            (0..self.crashes).into_par_iter().flat_map(|k| self.each(|fleet| plays::crash(fleet, 100 + k)));
+        let times = (0..self.crashes)
+            .into_par_iter()
+            .flat_map(|k| self.for_each_fleet(|fleet| plays::crash(fleet, 100 + k)));
         times.collect()
     }
 
     fn loss(&self, share: f64, disabled: Option<Disabled>) -> Loss {
-        let all = self.each(|fleet| plays::loss(fleet, share, PERIODS, disabled));
+        let all = self.for_each_fleet(|fleet| plays::loss(fleet, share, LOSS_PERIODS, disabled));
         all.into_iter().fold(Loss::default(), |sum, one| Loss {
             member_periods: sum.member_periods + one.member_periods,
             suspicions: sum.suspicions + one.suspicions,
@@ -103,183 +114,214 @@
         })
     }
 
-    fn split(&self, one: usize, disabled: Option<Disabled>) -> Vec<Split> {
-        self.each(|fleet| plays::split(fleet, one, disabled))
+    fn split(&self, part_size: usize, disabled: Option<Disabled>) -> Vec<Split> {
+        self.for_each_fleet(|fleet| plays::split(fleet, part_size, disabled))
     }
 
-    fn stop(&self, halves: u64, disabled: Option<Disabled>) -> Vec<Stopped> {
-        self.each(|fleet| plays::stop(fleet, halves * T / 2, disabled))
+    fn stop(&self, half_periods: u64, disabled: Option<Disabled>) -> Vec<Stopped> {
+        self.for_each_fleet(|fleet| plays::stop(fleet, half_periods * T / 2, disabled))
     }
 
-    /// All that is claimed at any size.
+    /// The checks for this size.
     fn jobs(&self) -> Vec<Job<'_>> {
         let n = self.n;
         let mut jobs: Vec<Job<'_>> = vec![
-            Box::new(move || self.on_crashes()),
-            Box::new(move || self.on_loss()),
+            Box::new(move || self.check_crashes()),
+            Box::new(move || self.check_loss()),
             Box::new(move || {
-                let dead = self.each(|fleet| plays::one_way(fleet, None));
+                let dead = self.for_each_fleet(|fleet| plays::one_way(fleet, None));
                 let claim =
                     "a live member that reaches a majority is held dead, links cut one way, 10% loss";
-                vec![within(self.named(claim), &dead, bound_nanos(bounds::refutation_round, n))]
+                vec![worst_case_claim(
+                    self.with_size(claim),
+                    &dead,
+                    bound_nanos(bounds::refutation_round, n),
+                )]
             }),
             Box::new(move || {
-                let (dead, back): (Vec<_>, Vec<_>) = self.each(plays::flap).into_iter().unzip();
+                let (dead, back): (Vec<_>, Vec<_>) = self.for_each_fleet(plays::flap).into_iter().unzip();
                 let dead: usize = dead.iter().sum();
-                let claim = self.named("held dead while the links of one come and go each 1.5 T, 60 T");
+                let claim = self.with_size("held dead while the links of one come and go each 1.5 T, 60 T");
                 let first = Claim::new(claim, "nobody", format!("{dead} times"), dead == 0);
-                let claim = self.named("after links that came and went all agree");
-                vec![first, within(claim, &back, agreement_bound(n))]
+                let claim = self.with_size("after links that came and went all agree");
+                vec![first, worst_case_claim(claim, &back, agreement_bound(n))]
             }),
             Box::new(move || {
-                let times: Vec<u64> = RESTARTS
+                let times: Vec<u64> = RESTART_TENTH_PERIODS
                     .iter()
-                    .flat_map(|gap| self.each(|fleet| plays::restart(fleet, gap * T / 10)))
+                    .flat_map(|gap| self.for_each_fleet(|fleet| plays::restart(fleet, gap * T / 10)))
                     .collect();
                 let claim = "a new process at the same address is one member, known to all as itself";
-                vec![within(self.named(claim), &times, agreement_bound(n))]
+                vec![worst_case_claim(self.with_size(claim), &times, agreement_bound(n))]
             }),
             Box::new(move || {
-                let mut times: Vec<u64> = self.all.iter().map(|(_, settled)| *settled).collect();
-                for within in [3 * T, 30 * T] {
-                    times.extend(self.each(|fleet| plays::power_loss(fleet, within, None)));
+                let mut times: Vec<u64> =
+                    self.settled.iter().map(|(_, settle_time)| *settle_time).collect();
+                for interval in [3 * T, 30 * T] {
+                    times.extend(self.for_each_fleet(|fleet| plays::power_loss(fleet, interval, None)));
                 }
                 let claim =
                     "all ended at one instant and started again in any order: all agree after the last";
-                vec![within(self.named(claim), &times, agreement_bound(n))]
+                vec![worst_case_claim(self.with_size(claim), &times, agreement_bound(n))]
             }),
         ];
-        // An even split, and an uneven one.
-        let parts = if n.is_multiple_of(2) { vec![n / 2, n / 3] } else { vec![n / 3] };
-        for one in parts {
-            jobs.push(Box::new(move || self.on_split(one)));
+        // An even split, where the number of members allows it, and an uneven one.
+        let part_sizes = if n.is_multiple_of(2) { vec![n / 2, n / 3] } else { vec![n / 3] };
+        for part_size in part_sizes {
+            jobs.push(Box::new(move || self.check_split(part_size)));
         }
-        for halves in STOPS {
-            jobs.push(Box::new(move || self.on_stop(halves)));
+        for half_periods in STOP_HALF_PERIODS {
+            jobs.push(Box::new(move || self.check_standstill(half_periods)));
         }
-        // What is sent again matters little where each packet is one in many: large fleets are left out.
+        // Replayed packets have little effect in large fleets, where each packet is one of many. Those are left out.
         if n <= 50 {
-            jobs.push(Box::new(move || self.on_replay()));
+            jobs.push(Box::new(move || self.check_replay()));
         }
         jobs
     }
 
-    fn on_crashes(&self) -> Vec<Claim> {
+    fn check_crashes(&self) -> Vec<Claim> {
         let (n, runs) = (self.n, self.crashes());
         let first: Vec<u64> = runs.iter().map(|run| run.iter().copied().min().unwrap_or(NEVER)).collect();
         let all: Vec<u64> = runs.iter().map(|run| run.iter().copied().max().unwrap_or(NEVER)).collect();
         let claim = |what: &str, times: &[u64], bound: u64| {
             let p99 = quantile(times, 0.99);
-            let (p50, worst) = (periods(quantile(times, 0.5)), periods(quantile(times, 1.0)));
-            let measured = format!("p50 {p50}, p99 {}, worst {worst} of {}", periods(p99), times.len());
-            Claim::new(self.named(what), format!("p99 {} at most", periods(bound)), measured, p99 <= bound)
+            let (p50, worst) = (format_periods(quantile(times, 0.5)), format_periods(quantile(times, 1.0)));
+            let measured =
+                format!("p50 {p50}, p99 {}, worst {worst} of {}", format_periods(p99), times.len());
+            Claim::new(
+                self.with_size(what),
+                format!("p99 {} at most", format_periods(bound)),
+                measured,
+                p99 <= bound,
+            )
         };
         let detected = 3 * T + bound_nanos(bounds::suspicion_max, n);
         vec![
             claim("a crash is known to the first: 3 T + S, unconfirmed", &first, detected),
             claim("a crash is known to all: 3 T + S, unconfirmed", &all, detected),
-            claim("a crash is known to all: 3 T + S, confirmed, + dissemination", &all, known(n)),
+            claim(
+                "a crash is known to all: 3 T + S, confirmed, + dissemination",
+                &all,
+                crash_known_bound(n),
+            ),
         ]
     }
 
-    fn on_loss(&self) -> Vec<Claim> {
-        let (some, much) = (self.loss(0.1, None), self.loss(0.3, None));
+    fn check_loss(&self) -> Vec<Claim> {
+        let (moderate, severe) = (self.loss(0.1, None), self.loss(0.3, None));
         let share = |count: u64, of: Loss| count as f64 / of.member_periods.max(1) as f64;
-        let bound = SUSPICIONS * chance(self.n, 0.1);
-        let suspected = share(some.suspicions, some);
-        let thousand = |share: f64| format!("{:.1}", 1000.0 * share);
-        let looked = format!("{} in {} member-periods", some.deaths, some.member_periods);
-        let more = format!("{} in {} member-periods", much.deaths, much.member_periods);
+        let bound = MAX_SUSPICION_RATIO * expected_suspicions(self.n, 0.1);
+        let suspected = share(moderate.suspicions, moderate);
+        let per_thousand = |share: f64| format!("{:.1}", 1000.0 * share);
+        let moderate_deaths = format!("{} in {} member-periods", moderate.deaths, moderate.member_periods);
+        let severe_deaths = format!("{} in {} member-periods", severe.deaths, severe.member_periods);
         vec![
-            Claim::new(self.named("live members held dead at 10% loss"), "none", looked, some.deaths == 0),
             Claim::new(
-                self.named("live members suspected at 10% loss, of 1000 member-periods"),
-                format!("{} at most", thousand(bound)),
-                thousand(suspected),
+                self.with_size("live members held dead at 10% loss"),
+                "none",
+                moderate_deaths,
+                moderate.deaths == 0,
+            ),
+            Claim::new(
+                self.with_size("live members suspected at 10% loss, of 1000 member-periods"),
+                format!("{} at most", per_thousand(bound)),
+                per_thousand(suspected),
                 suspected <= bound,
             ),
             Claim::new(
-                self.named("live members held dead at 30% loss"),
-                format!("{} of 1000 at most", thousand(DEATHS)),
-                more,
-                share(much.deaths, much) <= DEATHS,
+                self.with_size("live members held dead at 30% loss"),
+                format!("{} of 1000 at most", per_thousand(MAX_DEATHS_PER_MEMBER_PERIOD)),
+                severe_deaths,
+                share(severe.deaths, severe) <= MAX_DEATHS_PER_MEMBER_PERIOD,
             ),
         ]
     }
 
-    fn on_split(&self, one: usize) -> Vec<Claim> {
-        let splits = self.split(one, None);
+    fn check_split(&self, part_size: usize) -> Vec<Claim> {
+        let splits = self.split(part_size, None);
         let named: Vec<u64> = splits.iter().map(|split| split.named).collect();
         let healed: Vec<u64> = splits.iter().map(|split| split.healed).collect();
-        let (sides, n) = (format!("a split of {one} and {}", self.n - one), self.n);
+        let (sides, n) = (format!("a split of {part_size} and {}", self.n - part_size), self.n);
         vec![
-            within(
+            worst_case_claim(
                 format!("in {sides} each member names its part"),
                 &named,
                 bound_nanos(bounds::known_to_all, n),
             ),
-            within(format!("after {sides} has healed all agree"), &healed, agreement_bound(n)),
+            worst_case_claim(format!("after {sides} has healed all agree"), &healed, agreement_bound(n)),
         ]
     }
 
-    fn on_stop(&self, halves: u64) -> Vec<Claim> {
-        let stops = self.stop(halves, None);
+    fn check_standstill(&self, half_periods: u64) -> Vec<Claim> {
+        let stops = self.stop(half_periods, None);
         let falsely_dead: usize = stops.iter().map(|stop| stop.falsely_dead).sum();
         let back: Vec<u64> = stops.iter().map(|stop| stop.agreed_after).collect();
-        let still = format!("one in five stood still for {}", periods(halves * T / 2));
-        let claim = self.named(&format!("others held dead, {still}"));
+        let standstill = format!("one in five stood still for {}", format_periods(half_periods * T / 2));
+        let claim = self.with_size(&format!("others held dead, {standstill}"));
         let runs = format!("{falsely_dead} times in {} runs", stops.len());
         vec![
             Claim::new(claim, "none", runs, falsely_dead == 0),
-            within(self.named(&format!("all agree after {still}")), &back, agreement_bound(self.n)),
+            worst_case_claim(
+                self.with_size(&format!("all agree after {standstill}")),
+                &back,
+                agreement_bound(self.n),
+            ),
         ]
     }
 
-    fn on_replay(&self) -> Vec<Claim> {
-        let pairs = self.each(|fleet| (plays::troubles(fleet, 0.0), plays::troubles(fleet, AGAIN)));
+    fn check_replay(&self) -> Vec<Claim> {
+        let pairs = self
+            .for_each_fleet(|fleet| (plays::troubles(fleet, 0.0), plays::troubles(fleet, REPLAYED_SHARE)));
         let differ = pairs.iter().filter(|(without, with)| without.0 != with.0).count();
         let dead: Vec<u64> = pairs.iter().map(|(_, with)| with.1).collect();
         let claim = "views in the end with one packet in five sent again later, and without";
         let equal = format!("{differ} of {} differ", pairs.len());
-        let claims = vec![Claim::new(self.named(claim), "the same", equal, differ == 0)];
-        let claim = self.named("a live member is held dead, one packet in five sent again later");
+        let claims = vec![Claim::new(self.with_size(claim), "the same", equal, differ == 0)];
+        let claim = self.with_size("a live member is held dead, one packet in five sent again later");
         claims
             .into_iter()
-            .chain([within(claim, &dead, bound_nanos(bounds::refutation_round, self.n))])
+            .chain([worst_case_claim(claim, &dead, bound_nanos(bounds::refutation_round, self.n))])
             .collect()
     }
 }
 
-/// Bytes a second of members, with 50 and with more.
-fn flat(short: bool) -> Vec<Claim> {
-    let (seeds, most) = if short { (1, 150) } else { (4, 500) };
-    let sent = |n| -> (f64, f64, usize) {
+/// Compares the bytes per second that members send in a large fleet with those in a fleet of 50.
+fn check_bytes(short: bool) -> Vec<Claim> {
+    let (seeds, largest) = if short { (1, 150) } else { (4, 500) };
+    let measure = |n| -> (f64, f64, usize) {
         let fleets = Fleets::new(n, seeds, 0);
-        let rates = fleets.each(|fleet| plays::bytes(fleet, 0.0));
+        let rates = fleets.for_each_fleet(|fleet| plays::bytes(fleet, 0.0));
         let mean = rates.iter().map(|rate| rate.0).sum::<f64>() / rates.len() as f64;
-        let longest = fleets.all.iter().flat_map(|(f, _)| (0..n).map(|i| f.sent(i).2)).max().unwrap_or(0);
+        let longest =
+            fleets.settled.iter().flat_map(|(f, _)| (0..n).map(|i| f.sent(i).2)).max().unwrap_or(0);
         (mean, rates.iter().map(|rate| rate.1).fold(0.0, f64::max), longest)
     };
-    let (few, many) = rayon::join(|| sent(50), || sent(most));
-    let claim = |what: &str, few: f64, many: f64| {
-        let measured = format!("{few:.0} and {many:.0} bytes a second, {:.2}", many / few);
-        let claim = format!("{what}, {most} members against 50");
-        Claim::new(claim, format!("{FLAT} times at most"), measured, many <= FLAT * few)
+    let (small, large) = rayon::join(|| measure(50), || measure(largest));
+    let claim = |what: &str, small: f64, large: f64| {
+        let measured = format!("{small:.0} and {large:.0} bytes a second, {:.2}", large / small);
+        let claim = format!("{what}, {largest} members against 50");
+        Claim::new(
+            claim,
+            format!("{MAX_BYTES_RATIO} times at most"),
+            measured,
+            large <= MAX_BYTES_RATIO * small,
+        )
     };
     vec![
-        claim("bytes a second of a member, mean", few.0, many.0),
-        claim("bytes a second of the busiest member", few.1, many.1),
+        claim("bytes a second of a member, mean", small.0, large.0),
+        claim("bytes a second of the busiest member", small.1, large.1),
         Claim::new(
-            format!("longest packet at the start of {most} members, with its seal"),
+            format!("longest packet at the start of {largest} members, with its seal"),
             format!("{PACKET_LIMIT} bytes at most"),
-            many.2.max(few.2).to_string(),
-            many.2.max(few.2) <= PACKET_LIMIT,
+            large.2.max(small.2).to_string(),
+            large.2.max(small.2) <= PACKET_LIMIT,
         ),
     ]
 }
 
-/// With a part taken out the claim that rests on it has to fail.
-fn without(short: bool) -> Vec<Claim> {
+/// Checks that claims fail when the part of the protocol that they rest on is disabled.
+fn check_disabled_parts(short: bool) -> Vec<Claim> {
     let (n, seeds) = (10, if short { 20 } else { 100 });
     let fleets = Fleets::new(n, seeds, 0);
     let fails = |part: &str, claim: &str, measured: String, kept: bool| {
@@ -293,11 +335,11 @@
     let suspected = {
         let loss = fleets.loss(0.1, Some(Disabled::Indirect));
         let share = loss.suspicions as f64 / loss.member_periods as f64;
-        let kept = share <= SUSPICIONS * chance(n, 0.1);
+        let kept = share <= MAX_SUSPICION_RATIO * expected_suspicions(n, 0.1);
         let measured = format!("{:.1} of 1000 member-periods", 1000.0 * share);
         fails("pings through others", "suspicions at 10% loss keep their bound", measured, kept)
     };
-    let dead = fleets.each(|fleet| plays::one_way(fleet, Some(Disabled::Refutation)));
+    let dead = fleets.for_each_fleet(|fleet| plays::one_way(fleet, Some(Disabled::Refutation)));
     let dead = quantile(&dead, 1.0);
     let round = bound_nanos(bounds::refutation_round, n);
     let healed: Vec<u64> =
@@ -312,7 +354,7 @@
         fails(
             "contradiction",
             "held dead for no longer than a round, links cut one way",
-            periods(dead),
+            format_periods(dead),
             dead <= round,
         ),
         suspected,
@@ -326,8 +368,8 @@
     ]
 }
 
-/// Draws what is measured for each size.
-fn charts() -> std::io::Result<()> {
+/// Writes the charts of the measured figures by fleet size to `docs/peers`.
+fn write_charts() -> std::io::Result<()> {
     let sizes = [3, 10, 25, 50, 100, 200];
     let in_t = |time: u64| time as f64 / T as f64;
     let mut known_by: [Line; 3] =
@@ -338,14 +380,14 @@
         let fleets = Fleets::new(n, if n > 50 { 4 } else { 25 }, if n > 50 { 25 } else { 4 });
         let all: Vec<u64> =
             fleets.crashes().iter().map(|run| run.iter().copied().max().unwrap_or(NEVER)).collect();
-        let figures = [quantile(&all, 0.5), quantile(&all, 0.99), known(n)];
+        let figures = [quantile(&all, 0.5), quantile(&all, 0.99), crash_known_bound(n)];
         known_by.iter_mut().zip(figures).for_each(|(line, time)| line.1.push((n as f64, in_t(time))));
-        let quiet = plays::bytes(&fleets.all[0].0, 0.0);
-        let lossy = plays::bytes(&fleets.all[0].0, 0.1);
+        let quiet = plays::bytes(&fleets.settled[0].0, 0.0);
+        let lossy = plays::bytes(&fleets.settled[0].0, 0.1);
         let rates = [quiet.0, quiet.1, lossy.0];
         sent.iter_mut().zip(rates).for_each(|(line, rate)| line.1.push((n as f64, rate)));
         if [10, 50, 200].contains(&n) {
-            let split = plays::split(&fleets.all[0].0, n / 2, None);
+            let split = plays::split(&fleets.settled[0].0, n / 2, None);
             let pairs = (n * (n - 1)) as f64;
             let share = split.astray.iter().enumerate().take(160);
             let points = share.map(|(i, astray)| (i as f64 / 4.0, 100.0 * *astray as f64 / pairs));
@@ -360,25 +402,25 @@
     std::fs::write(to.join("heal.svg"), lines(title, "periods", &heals))
 }
 
-/// What the plane owes, at each size; in full the charts under `docs/peers` are drawn too.
+/// Checks the claims on the membership protocol at each size. The full form also writes the charts under `docs/peers`.
 pub fn prove(short: bool) -> Vec<Claim> {
-    let drawn = if short { Ok(()) } else { charts() };
-    let at = usize::from(!short);
+    let charts_written = if short { Ok(()) } else { write_charts() };
+    let form_index = usize::from(!short);
     let fleets: Vec<Fleets> = SIZES
         .par_iter()
-        .filter(|(_, counts)| counts[at].0 > 0)
+        .filter(|(_, counts)| counts[form_index].0 > 0)
         .map(|(n, counts)| {
-            let (seeds, crashes) = counts[at];
+            let (seeds, crashes) = counts[form_index];
             Fleets::new(*n, seeds, crashes)
         })
         .collect();
     let mut jobs: Vec<Job<'_>> = fleets.iter().flat_map(Fleets::jobs).collect();
-    jobs.push(Box::new(move || flat(short)));
-    jobs.push(Box::new(move || without(short)));
-    // The longest ones come last in the list and first in the run.
+    jobs.push(Box::new(move || check_bytes(short)));
+    jobs.push(Box::new(move || check_disabled_parts(short)));
+    // The longest jobs are last in the list and are started first.
     let mut claims: Vec<Vec<Claim>> = jobs.par_iter().rev().with_max_len(1).map(|job| job()).collect();
     claims.reverse();
-    if let Err(e) = drawn {
+    if let Err(e) = charts_written {
         claims.push(vec![Claim::new("charts", "written to docs/peers", e.to_string(), false)]);
     }
     claims.into_iter().flatten().collect()
