--- a/crates/lab/src/prove/lab/mod.rs
+++ b/crates/lab/src/prove/lab/mod.rs
@@ -181,7 +181,7 @@
 
 /// The number of breaches of each rule, in the order of [`Rule::ALL`], by a policy that breaks the given rule, or by
 /// the balancer if none is given.
-pub fn breaches(rule: Option<Rule>) -> [u64; 5] {
+pub fn breaches_by_rule(rule: Option<Rule>) -> [u64; 5] {
     let Ok(scenario) = Scenario::parse("(proof)", &scenario_that_breaks(rule.unwrap_or(Rule::Drains)))
     else {
         return [0; 5];
@@ -197,7 +197,7 @@
 
 fn check_rule_checkers(claims: &mut Vec<Claim>) {
     for (i, rule) in Rule::ALL.into_iter().enumerate() {
-        let found = breaches(Some(rule))[i];
+        let found = breaches_by_rule(Some(rule))[i];
         claims.push(Claim::new(
             format!("the checker of {rule:?} sees a policy written to break it"),
             "one breach at least",
@@ -205,7 +205,7 @@
             found > 0,
         ));
     }
-    let balancer_breaches = breaches(None);
+    let balancer_breaches = breaches_by_rule(None);
     claims.push(Claim::new(
         "our policy on the same rough day",
         "no breach",
--- a/crates/lab/tests/emulator.rs
+++ b/crates/lab/tests/emulator.rs
@@ -3,7 +3,7 @@
 
 use cottonpoint_lab::experiment::{compare, play, rank_correlation};
 use cottonpoint_lab::policies::Policy;
-use cottonpoint_lab::prove::lab::{breaches, conserve};
+use cottonpoint_lab::prove::lab::{breaches_by_rule, conserve};
 use cottonpoint_lab::scenario::Scenario;
 use cottonpoint_lab::world::{Rule, World};
 use proptest::prelude::*;
@@ -33,9 +33,9 @@
 #[test]
 fn each_checker_sees_its_rule_broken_and_no_other_policy_is_blamed() {
     for (i, rule) in Rule::ALL.into_iter().enumerate() {
-        assert!(breaches(Some(rule))[i] > 0, "{rule:?}");
+        assert!(breaches_by_rule(Some(rule))[i] > 0, "{rule:?}");
     }
-    assert_eq!(breaches(None), [0; 5]);
+    assert_eq!(breaches_by_rule(None), [0; 5]);
 }
 
 /// One server, no network, fixed work: times are exact.
