--- a/crates/lab/src/prove/lab/mod.rs
+++ b/crates/lab/src/prove/lab/mod.rs
@@ -129,7 +129,7 @@
 
 /// Simulates a run of the stress scenario event by event and audits the emulator after every `audit_every` events.
 /// Returns the number of events, the number of audits and the first failure, if any.
-pub fn conserve(seed: u64, policy: Policy, audit_every: u64) -> (u64, u64, Option<String>) {
+pub fn audit_stress_run(seed: u64, policy: Policy, audit_every: u64) -> (u64, u64, Option<String>) {
     let scenario = match Scenario::parse("(proof)", &stress_scenario(seed)) {
         Ok(scenario) => scenario,
         Err(e) => return (0, 0, Some(e.to_string())),
@@ -158,7 +158,7 @@
     for seed in 0..if short { 6 } else { 100 } {
         for policy in ["ours", "p2c+aimd"] {
             let Ok(policy) = policy.parse() else { continue };
-            let (run_events, run_audits, run_failure) = conserve(seed, policy, 50);
+            let (run_events, run_audits, run_failure) = audit_stress_run(seed, policy, 50);
             (events, audits, failure) = (events + run_events, audits + run_audits, failure.or(run_failure));
         }
     }
--- a/crates/lab/tests/emulator.rs
+++ b/crates/lab/tests/emulator.rs
@@ -3,7 +3,7 @@
 
 use cottonpoint_lab::experiment::{compare, play, rank_correlation};
 use cottonpoint_lab::policies::Policy;
-use cottonpoint_lab::prove::lab::{breaches_by_rule, conserve};
+use cottonpoint_lab::prove::lab::{audit_stress_run, breaches_by_rule};
 use cottonpoint_lab::scenario::Scenario;
 use cottonpoint_lab::world::{Rule, World};
 use proptest::prelude::*;
@@ -23,7 +23,7 @@
     #[test]
     fn requests_and_work_are_conserved(seed in 0_u64..10_000, which in 0_usize..4) {
         let policy = policy(["ours", "p2c+gradient", "wrr+aimd+budget", "top"][which]);
-        let (events, audits, wrong) = conserve(seed, policy, 200);
+        let (events, audits, wrong) = audit_stress_run(seed, policy, 200);
         prop_assert_eq!(wrong, None);
         prop_assert!(events > 1000 && audits > 5);
     }
