--- a/crates/lab/src/commands/mod.rs
+++ b/crates/lab/src/commands/mod.rs
@@ -16,7 +16,7 @@
 use cottonpoint_lab::report::{self, figure_rows, markdown};
 use cottonpoint_lab::scenario::Scenario;
 use cottonpoint_lab::soak::Arguments;
-use cottonpoint_lab::store::{Name, Row, Store, version};
+use cottonpoint_lab::store::{RunKey, Store, StoredRun, version};
 use cottonpoint_lab::world::World;
 use serde::Serialize;
 use std::error::Error;
@@ -60,13 +60,13 @@
     Ok(names)
 }
 
-fn stored_run(loaded: &LoadedScenario, seed: u64, policy: Policy, outcome: Outcome) -> Row {
+fn stored_run(loaded: &LoadedScenario, seed: u64, policy: Policy, outcome: Outcome) -> StoredRun {
     let digest = format!("{:016x}", Scenario::digest(&loaded.text));
     let (code, scenario, policy) = (version(), loaded.scenario.name.clone(), policy.to_string());
-    Row { name: Name { code, scenario, digest, policy, seed }, outcome }
+    StoredRun { key: RunKey { code, scenario, digest, policy, seed }, outcome }
 }
 
-fn store_runs(runs: Vec<Row>) -> CommandResult<()> {
+fn store_runs(runs: Vec<StoredRun>) -> CommandResult<()> {
     Ok(Store::open(Path::new(RESULTS_FOLDER))?.keep(runs)?)
 }
 
--- a/crates/lab/src/commands/results.rs
+++ b/crates/lab/src/commands/results.rs
@@ -4,7 +4,7 @@
 use crate::{Form, ResultsCommand};
 use cottonpoint_lab::experiment::compare;
 use cottonpoint_lab::report::markdown;
-use cottonpoint_lab::store::{Name, Row, Store};
+use cottonpoint_lab::store::{RunKey, Store, StoredRun};
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -14,7 +14,7 @@
         ResultsCommand::List => {
             let mut counts = BTreeMap::new();
             for row in store.rows() {
-                *counts.entry(row.name.code).or_insert(0_u64) += 1;
+                *counts.entry(row.key.code).or_insert(0_u64) += 1;
             }
             if form.json {
                 print_json(&counts)?;
@@ -23,29 +23,29 @@
             }
         }
         ResultsCommand::Show { version } => {
-            let rows: Vec<Row> = store.rows().filter(|r| r.name.code == version).collect();
+            let rows: Vec<StoredRun> = store.rows().filter(|r| r.key.code == version).collect();
             if form.json {
                 print_json(&rows)?;
                 return Ok(true);
             }
             let lines = rows.iter().map(|r| {
-                let (n, f) = (&r.name, &r.outcome.figures);
+                let (n, f) = (&r.key, &r.outcome.figures);
                 vec![n.scenario.clone(), n.policy.clone(), n.seed.to_string(), format!("{:.3}", f.score)]
             });
             println!("{}", markdown(["scenario", "policy", "seed", "score"], lines));
         }
         ResultsCommand::Diff { old, new } => {
             let mut score_pairs: BTreeMap<(String, String), Vec<(f64, f64)>> = BTreeMap::new();
-            let old_scores: BTreeMap<Name, f64> = store
+            let old_scores: BTreeMap<RunKey, f64> = store
                 .rows()
-                .filter(|r| r.name.code == old)
-                .map(|r| (Name { code: String::new(), ..r.name }, r.outcome.figures.score))
+                .filter(|r| r.key.code == old)
+                .map(|r| (RunKey { code: String::new(), ..r.key }, r.outcome.figures.score))
                 .collect();
-            for r in store.rows().filter(|r| r.name.code == new) {
-                let name = Name { code: String::new(), ..r.name };
-                if let Some(old_score) = old_scores.get(&name) {
+            for r in store.rows().filter(|r| r.key.code == new) {
+                let key = RunKey { code: String::new(), ..r.key };
+                if let Some(old_score) = old_scores.get(&key) {
                     let pair = (r.outcome.figures.score, *old_score);
-                    score_pairs.entry((name.scenario, name.policy)).or_default().push(pair);
+                    score_pairs.entry((key.scenario, key.policy)).or_default().push(pair);
                 }
             }
             let lines = score_pairs.iter().map(|((scenario, policy), pairs)| {
--- a/crates/lab/src/store.rs
+++ b/crates/lab/src/store.rs
@@ -31,7 +31,7 @@
 
 /// The key of a run in the store.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Name {
+pub struct RunKey {
     /// The version of the code.
     pub code: String,
     /// The scenario's name.
@@ -46,10 +46,10 @@
 
 /// A stored run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Row {
+pub struct StoredRun {
     /// The key of the run.
     #[serde(flatten)]
-    pub name: Name,
+    pub key: RunKey,
     /// The results of the run.
     #[serde(flatten)]
     pub outcome: Outcome,
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 pub struct Store {
     path: PathBuf,
-    rows: BTreeMap<Name, Outcome>,
+    rows: BTreeMap<RunKey, Outcome>,
 }
 
 impl Store {
@@ -74,16 +74,16 @@
         };
         let mut rows = BTreeMap::new();
         for (i, line) in text.lines().enumerate() {
-            let row: Row = serde_json::from_str(line)
+            let row: StoredRun = serde_json::from_str(line)
                 .map_err(|e| io::Error::other(format!("{}:{}: {e}", path.display(), i + 1)))?;
-            rows.insert(row.name, row.outcome);
+            rows.insert(row.key, row.outcome);
         }
         Ok(Store { path, rows })
     }
 
     /// Stores runs, which replace those with the same key. The file is replaced atomically.
-    pub fn keep(&mut self, rows: impl IntoIterator<Item = Row>) -> io::Result<()> {
-        self.rows.extend(rows.into_iter().map(|r| (r.name, r.outcome)));
+    pub fn keep(&mut self, rows: impl IntoIterator<Item = StoredRun>) -> io::Result<()> {
+        self.rows.extend(rows.into_iter().map(|r| (r.key, r.outcome)));
         if let Some(folder) = self.path.parent() {
             fs::create_dir_all(folder)?;
         }
@@ -98,7 +98,7 @@
     }
 
     /// All stored runs, ordered by key.
-    pub fn rows(&self) -> impl Iterator<Item = Row> + '_ {
-        self.rows.iter().map(|(name, outcome)| Row { name: name.clone(), outcome: outcome.clone() })
+    pub fn rows(&self) -> impl Iterator<Item = StoredRun> + '_ {
+        self.rows.iter().map(|(key, outcome)| StoredRun { key: key.clone(), outcome: outcome.clone() })
     }
 }
--- a/crates/lab/tests/scenarios.rs
+++ b/crates/lab/tests/scenarios.rs
@@ -4,7 +4,7 @@
 use cottonpoint_lab::experiment::{Outcome, play};
 use cottonpoint_lab::policies::Policy;
 use cottonpoint_lab::scenario::Scenario;
-use cottonpoint_lab::store::{Name, Row, Store};
+use cottonpoint_lab::store::{RunKey, Store, StoredRun};
 use insta::assert_snapshot;
 use std::path::Path;
 
@@ -64,14 +64,15 @@
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("kept-runs");
     let _ = std::fs::remove_dir_all(&folder);
     let scenario = Scenario::parse("calm.toml", &calm()).expect("good");
-    let name = |seed| Name {
+    let name = |seed| RunKey {
         code: "0.1.0-test".into(),
         scenario: "calm".into(),
         digest: "0".into(),
         policy: "ours".into(),
         seed,
     };
-    let row = |seed| Row { name: name(seed), outcome: Outcome::from(play(&scenario, seed, Policy::Ours)) };
+    let row =
+        |seed| StoredRun { key: name(seed), outcome: Outcome::from(play(&scenario, seed, Policy::Ours)) };
     let (one, two) = (row(1), row(2));
     let open = || Store::open(&folder);
     open().and_then(|mut s| s.keep([one.clone(), two.clone()])).expect("kept");
