--- a/crates/lab/src/commands/compare.rs
+++ b/crates/lab/src/commands/compare.rs
@@ -37,10 +37,10 @@
         print_json(&results)?;
         return Ok(true);
     }
-    let header = ["scenario", "A", "B", "A minus B", "95% interval", "A wins", "breaches A, B", "verdict"];
+    let header = ["scenario", "A", "B", "A minus B", "95% interval", "A wins", "breaches A, B", "says"];
     let lines = results.iter().map(|(name, (c, breaches_a, breaches_b))| {
         let verdict = match (c.says_something, c.difference > 0.0) {
-            (false, _) => "not significant",
+            (false, _) => "nothing",
             (true, true) => "A is better",
             (true, false) => "B is better",
         };
@@ -92,7 +92,7 @@
     if form.json {
         print_json(&results)?;
     } else {
-        let header = ["value", "score", "std deviation", "whole", "refused", "attempts", "breaches"];
+        let header = ["value", "score", "spread", "whole", "refused", "attempts", "breaches"];
         println!("{key}, {policy}, {seeds} seeds\n\n{}", markdown(header, lines));
     }
     Ok(true)
--- a/crates/lab/src/commands/gate.rs
+++ b/crates/lab/src/commands/gate.rs
@@ -36,7 +36,7 @@
                 c.worst_seed.to_string(),
                 share(c.worst.ours),
                 share(c.worst.late),
-                c.worst.wanted.map_or_else(|| "not judged".into(), share),
+                c.worst.wanted.map_or_else(|| "nothing".into(), share),
                 if c.failed.is_empty() {
                     "yes".into()
                 } else {
@@ -46,14 +46,14 @@
         });
     let header = [
         "scenario",
-        "criterion",
+        "what",
         "served",
-        "reference",
+        "late-seeing",
         "worst seed",
         "served",
-        "reference",
-        "required",
-        "passed",
+        "late-seeing",
+        "wanted",
+        "kept",
     ];
     println!("{}", markdown(header, lines));
     for (name, rows) in &summaries {
