--- a/crates/lab/src/commands/results.rs
+++ b/crates/lab/src/commands/results.rs
@@ -1,20 +1,20 @@
-//! Kept results: listed, shown, compared.
+//! `results`: lists, shows and compares stored runs.
 
-use super::{Done, RESULTS, print_json};
+use super::{CommandResult, RESULTS_FOLDER, print_json};
 use crate::{Form, ResultsCommand};
 use cottonpoint_lab::experiment::compare;
 use cottonpoint_lab::report::markdown;
-use cottonpoint_lab::store::{Name, Row, Store};
+use cottonpoint_lab::store::{RunKey, Store, StoredRun};
 use std::collections::BTreeMap;
 use std::path::Path;
 
-pub(super) fn results(what: ResultsCommand, form: Form) -> Done<bool> {
-    let store = Store::open(Path::new(RESULTS))?;
+pub(super) fn results(what: ResultsCommand, form: Form) -> CommandResult<bool> {
+    let store = Store::open(Path::new(RESULTS_FOLDER))?;
     match what {
         ResultsCommand::List => {
             let mut counts = BTreeMap::new();
             for row in store.rows() {
-                *counts.entry(row.name.code).or_insert(0_u64) += 1;
+                *counts.entry(row.key.code).or_insert(0_u64) += 1;
             }
             if form.json {
                 print_json(&counts)?;
@@ -23,32 +23,32 @@
             }
         }
         ResultsCommand::Show { version } => {
-            let rows: Vec<Row> = store.rows().filter(|r| r.name.code == version).collect();
+            let rows: Vec<StoredRun> = store.rows().filter(|r| r.key.code == version).collect();
             if form.json {
                 print_json(&rows)?;
                 return Ok(true);
             }
             let lines = rows.iter().map(|r| {
-                let (n, f) = (&r.name, &r.outcome.figures);
+                let (n, f) = (&r.key, &r.outcome.figures);
                 vec![n.scenario.clone(), n.policy.clone(), n.seed.to_string(), format!("{:.3}", f.score)]
             });
             println!("{}", markdown(["scenario", "policy", "seed", "score"], lines));
         }
         ResultsCommand::Diff { old, new } => {
-            let mut both: BTreeMap<(String, String), Vec<(f64, f64)>> = BTreeMap::new();
-            let olds: BTreeMap<Name, f64> = store
+            let mut score_pairs: BTreeMap<(String, String), Vec<(f64, f64)>> = BTreeMap::new();
+            let old_scores: BTreeMap<RunKey, f64> = store
                 .rows()
-                .filter(|r| r.name.code == old)
-                .map(|r| (Name { code: String::new(), ..r.name }, r.outcome.figures.score))
+                .filter(|r| r.key.code == old)
+                .map(|r| (RunKey { code: String::new(), ..r.key }, r.outcome.figures.score))
                 .collect();
-            for r in store.rows().filter(|r| r.name.code == new) {
-                let name = Name { code: String::new(), ..r.name };
-                if let Some(before) = olds.get(&name) {
-                    let pair = (r.outcome.figures.score, *before);
-                    both.entry((name.scenario, name.policy)).or_default().push(pair);
+            for r in store.rows().filter(|r| r.key.code == new) {
+                let key = RunKey { code: String::new(), ..r.key };
+                if let Some(old_score) = old_scores.get(&key) {
+                    let pair = (r.outcome.figures.score, *old_score);
+                    score_pairs.entry((key.scenario, key.policy)).or_default().push(pair);
                 }
             }
-            let lines = both.iter().map(|((scenario, policy), pairs)| {
+            let lines = score_pairs.iter().map(|((scenario, policy), pairs)| {
                 let c = compare(pairs);
                 vec![
                     scenario.clone(),
@@ -67,9 +67,9 @@
                 "pairs",
                 "old",
                 "new",
-                "new less old",
+                "new minus old",
                 "95% interval",
-                "says something",
+                "significant",
             ];
             println!("{}", markdown(header, lines));
         }
