--- a/crates/shim/tests/connect.rs
+++ b/crates/shim/tests/connect.rs
@@ -1,4 +1,5 @@
-//! Connects that fail by the preloaded library, seen from a process of its own: this test's executable, started again.
+//! Connects that the preloaded library makes fail. They run in a separate process: this test's
+//! executable, started again.
 
 use std::net::{TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -6,88 +7,97 @@
 
 const LIBRARY: &str = "libcottonpoint_shim.so";
 /// Set in the process that the library is loaded into.
-const PART: &str = "CONNECT_TEST_PART";
+const CHILD_VARIABLE: &str = "CONNECT_TEST_PART";
 
 fn library() -> PathBuf {
-    let executable = std::env::current_exe().expect("it runs");
+    let executable = std::env::current_exe().expect("the path of this executable");
     let folders = executable.ancestors().skip(1).take(2);
     let found = folders.map(|folder| folder.join(LIBRARY)).find(|path| path.exists());
     found.expect("cargo builds the library with its tests")
 }
 
-/// Runs the test of that name in a process with these faults.
-fn passes_with(faults: &str, name: &str) {
-    let status = Command::new(std::env::current_exe().expect("it runs"))
+/// Runs the named test in a process with these faults and asserts that it passes.
+fn assert_passes_with_faults(faults: &str, name: &str) {
+    let status = Command::new(std::env::current_exe().expect("the path of this executable"))
         .args(["--exact", name])
         .env("LD_PRELOAD", library())
         .env("COTTONPOINT_FAULTS", faults)
-        .env(PART, "1")
+        .env(CHILD_VARIABLE, "1")
         .status();
-    assert!(status.expect("it starts").success(), "with {faults}");
+    assert!(status.expect("the test process starts").success(), "with {faults}");
 }
 
-/// Accepts a connection, so that the library takes the process for one that serves; yields how the next connect ends.
-fn connect_while_serving() -> Option<i32> {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a process that starts has its sockets");
-    let address = listener.local_addr().expect("bound");
-    let _first = TcpStream::connect(address).expect("before it serves, none fails");
+/// Accepts a connection, so that the library treats this process as serving. Returns the error of
+/// the next connect, if it fails.
+fn error_of_connect_while_serving() -> Option<i32> {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("no socket fails before the process serves");
+    let address = listener.local_addr().expect("a bound address");
+    let _first = TcpStream::connect(address).expect("no connect fails before the process serves");
     let _accepted = listener.accept().expect("a connection");
-    TcpStream::connect(address).err().and_then(|failure| failure.raw_os_error())
+    TcpStream::connect(address).err().and_then(|error| error.raw_os_error())
 }
 
-/// Guards against: a soak whose processes meet no failing connect or socket.
+/// Guards against a soak whose processes see no failing connect or socket.
 #[test]
-fn all_fail_where_all_are_to_fail() {
-    if std::env::var_os(PART).is_none() {
-        return passes_with("seed=7;connect_per_mille=1000", "all_fail_where_all_are_to_fail");
+fn all_connects_fail_at_full_failure_rate() {
+    if std::env::var_os(CHILD_VARIABLE).is_none() {
+        return assert_passes_with_faults(
+            "seed=7;connect_per_mille=1000",
+            "all_connects_fail_at_full_failure_rate",
+        );
     }
-    let code = connect_while_serving().expect("it fails");
+    let code = error_of_connect_while_serving().expect("the connect fails");
     let errors = [libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
     assert!(errors.contains(&code), "socket comes first: error {code}");
 }
 
-/// Guards against: a filter that breaks the calls that it lets through.
+/// Guards against a filter that breaks the calls that it lets through.
 #[test]
-fn most_come_up_where_few_are_to_fail() {
-    if std::env::var_os(PART).is_none() {
-        return passes_with("seed=7;connect_per_mille=1", "most_come_up_where_few_are_to_fail");
+fn connects_succeed_at_low_failure_rate() {
+    if std::env::var_os(CHILD_VARIABLE).is_none() {
+        return assert_passes_with_faults(
+            "seed=7;connect_per_mille=1",
+            "connects_succeed_at_low_failure_rate",
+        );
     }
-    assert_eq!(connect_while_serving(), None);
+    assert_eq!(error_of_connect_while_serving(), None);
 }
 
-/// Guards against: faults without the variable that asks for them.
+/// Guards against faults that nothing configures.
 #[test]
-fn none_fails_where_none_is_to_fail() {
-    if std::env::var_os(PART).is_none() {
-        return passes_with("seed=7", "none_fails_where_none_is_to_fail");
+fn connects_succeed_without_configured_faults() {
+    if std::env::var_os(CHILD_VARIABLE).is_none() {
+        return assert_passes_with_faults("seed=7", "connects_succeed_without_configured_faults");
     }
-    assert_eq!(connect_while_serving(), None);
+    assert_eq!(error_of_connect_while_serving(), None);
 }
 
-/// Guards against: a connect that does not fail at the moment that a test chose, or that fails elsewhere or later too.
+/// Guards against a connect that does not fail when a test wants it to, or that fails for another
+/// port or a second time.
 #[test]
-fn a_connect_fails_by_the_file_and_to_the_port_that_a_test_names() {
-    const NAME: &str = "a_connect_fails_by_the_file_and_to_the_port_that_a_test_names";
-    if std::env::var_os(PART).is_none() {
-        let folder = tempfile::tempdir().expect("a folder");
+fn connect_fails_once_with_the_error_of_the_file_for_the_configured_port() {
+    const NAME: &str = "connect_fails_once_with_the_error_of_the_file_for_the_configured_port";
+    if std::env::var_os(CHILD_VARIABLE).is_none() {
+        let folder = tempfile::tempdir().expect("a temporary directory");
         let file = folder.path().join("error");
         let listeners = [(), ()].map(|()| TcpListener::bind("127.0.0.1:0").expect("a port"));
-        let [failing, other] = listeners.each_ref().map(|listener| listener.local_addr().expect("bound"));
+        let [failing, other] =
+            listeners.each_ref().map(|listener| listener.local_addr().expect("a bound address"));
         std::fs::write(&file, format!("{} once", libc::EHOSTUNREACH)).expect("a file");
         let faults = format!("connect_error_file={};connect_port={}", file.display(), failing.port());
-        let status = Command::new(std::env::current_exe().expect("it runs"))
+        let status = Command::new(std::env::current_exe().expect("the path of this executable"))
             .args(["--exact", NAME])
             .env("LD_PRELOAD", library())
             .env("COTTONPOINT_FAULTS", faults)
-            .env(PART, format!("{other} {failing}"))
+            .env(CHILD_VARIABLE, format!("{other} {failing}"))
             .status();
-        assert!(status.expect("it starts").success());
-        assert!(!file.exists(), "it was for once");
+        assert!(status.expect("the test process starts").success());
+        assert!(!file.exists(), "the file is removed after one failure");
         return;
     }
-    let part = std::env::var(PART).expect("this part");
-    let (other, failing) = part.split_once(' ').expect("two addresses");
-    let ends = [other, failing, failing].map(|address| TcpStream::connect(address).err());
-    let codes = ends.map(|end| end.and_then(|failure| failure.raw_os_error()));
+    let addresses = std::env::var(CHILD_VARIABLE).expect("the variable holds two addresses");
+    let (other, failing) = addresses.split_once(' ').expect("two addresses");
+    let errors = [other, failing, failing].map(|address| TcpStream::connect(address).err());
+    let codes = errors.map(|error| error.and_then(|error| error.raw_os_error()));
     assert_eq!(codes, [None, Some(libc::EHOSTUNREACH), None]);
 }
