--- a/crates/lab/tests/connect_faults.rs
+++ b/crates/lab/tests/connect_faults.rs
@@ -1,9 +1,10 @@
-//! Connects to discovery that fail, on real sockets: a failure of a moment and one that lasts.
+//! Failing connects to discovery on real sockets: transient failures and lasting ones.
 //!
-//! Seen in soak 770106: an endpoint drained; the process could make no connection for a while (ENOBUFS), then one connect
-//! failed by EHOSTUNREACH, which Linux may return for a moment. It was taken for an outage: the lease on the list ran for
-//! 6.3 s from there, to the hundredth of a second, and the next poll came 4.2 s later. Nine attempts went to the endpoint 0.8 to
-//! 2.4 s after the process counted as told.
+//! Soak 770106: an endpoint drained while the process could open no connections for some time
+//! (ENOBUFS). Then one connect failed with EHOSTUNREACH, which Linux may also return for a moment.
+//! The process took that for an outage: the lease on the list ran for another 6.3 s, to the
+//! hundredth of a second, and the next poll followed 4.2 s later. Nine attempts went to the
+//! endpoint 0.8 to 2.4 s after the process counted as notified.
 #![allow(missing_docs)]
 
 mod story;
@@ -14,22 +15,23 @@
     attempts_after_a_connect_failed, next_poll_after_a_connect_failed, refused_while_connects_fail,
 };
 
-/// A poll that failed for a moment is made again within this time.
-const SOON: Duration = Duration::from_secs(1);
-/// Twice the time for which a list may be used that nothing confirms.
+/// A poll that failed for a moment is repeated within this time.
+const RETRY_WITHIN: Duration = Duration::from_secs(1);
+/// Twice the time for which a list may be used without confirmation.
 const OUTAGE: Duration = Duration::from_secs(13);
 
-/// Guards against: a lease extended by an error of a moment, so that a drained server gets new requests.
+/// Guards against a lease extended by a transient error, so that a draining endpoint gets new
+/// requests.
 #[test]
-fn nothing_new_goes_to_a_draining_server_after_a_connect_that_failed_for_a_moment() {
+fn draining_endpoint_gets_no_attempts_after_a_transient_connect_failure() {
     for error in [Errno::HOSTUNREACH, Errno::TIMEDOUT] {
         assert_eq!(attempts_after_a_connect_failed(error), 0, "{error}");
     }
 }
 
-/// Guards against: a poll put off for seconds by an error that passes in a moment.
+/// Guards against a transient error that delays the next poll by seconds.
 #[test]
-fn a_connect_that_failed_for_a_moment_does_not_put_off_the_next_poll() {
+fn transient_connect_failure_does_not_delay_the_next_poll() {
     let (path_failed, not_made) = ("path_failed", "not_made");
     let errors = [
         (Errno::HOSTUNREACH, path_failed),
@@ -39,18 +41,18 @@
     ];
     for (error, reason) in errors {
         let after = next_poll_after_a_connect_failed(error, reason);
-        assert!(after < SOON, "{error}: {after:?}");
+        assert!(after < RETRY_WITHIN, "{error}: {after:?}");
     }
 }
 
-/// Guards against: clients refused during an outage that shows by unreachable hosts for as long as it lasts.
+/// Guards against refusing clients during an outage in which discovery's host stays unreachable.
 #[test]
-fn a_host_that_stays_unreachable_is_an_outage() {
+fn host_that_stays_unreachable_is_an_outage() {
     assert_eq!(refused_while_connects_fail(Errno::HOSTUNREACH, OUTAGE), 0);
 }
 
-/// Guards against: a process that can make no connection, and goes on as in an outage.
+/// Guards against a process that can open no connections and behaves as in an outage of discovery.
 #[test]
-fn a_process_that_can_make_no_connection_does_not_take_that_for_an_outage() {
+fn process_that_can_open_no_connections_does_not_assume_an_outage() {
     assert!(refused_while_connects_fail(Errno::NOBUFS, OUTAGE) > 0);
 }
