--- a/crates/lab/src/soak/addresses/tests.rs
+++ b/crates/lab/src/soak/addresses/tests.rs
@@ -1,19 +1,20 @@
 use super::*;
 
-/// Guards against: a run that is met by what another run's processes send to a port that a stand-in has left.
+/// Guards against traffic of one run reaching another run on a port that a stand-in no longer uses.
 ///
-/// Seen in soak 9225: eight attempts told more time than their clients had, with ids and times of another run. Three runs played
-/// side by side on 127.0.0.1 with ports that the system gave; an endpoint that crashed in one left its port to the other.
+/// Soak 9225 reported eight attempts whose time left exceeded that of their clients; their ids and
+/// times belonged to another run. Three runs had been played concurrently on 127.0.0.1 with ports
+/// chosen by the system, and when an endpoint crashed in one run, another run was given its port.
 #[test]
-fn runs_side_by_side_have_no_address_in_common() {
+fn concurrent_runs_share_no_address() {
     let processes = [1, 2, 255, 256, 65_535, 65_536, 4_194_303];
     for (at, one) in processes.iter().enumerate() {
         assert!(host_of(*one).is_loopback());
         assert!(processes[at + 1..].iter().all(|other| host_of(*one) != host_of(*other)), "{one}");
     }
-    let left = listen().expect("a port").local_addr().expect("bound");
-    assert_eq!(left.ip(), host());
+    let closed = listen().expect("a port").local_addr().expect("bound");
+    assert_eq!(closed.ip(), host());
     let next = listen().expect("a port").local_addr().expect("bound");
-    assert_ne!(left, next, "a place that has been left stays empty");
-    assert!(std::net::TcpStream::connect(left).is_err());
+    assert_ne!(closed, next, "a port is not allocated twice");
+    assert!(std::net::TcpStream::connect(closed).is_err());
 }
--- a/crates/lab/src/soak/clients.rs
+++ b/crates/lab/src/soak/clients.rs
@@ -1,5 +1,6 @@
-//! The clients of one process in a soak: requests at times drawn ahead on kept and new connections; some leave early, some
-//! stop in the middle of a request and stay, some only hold connections.
+//! The clients of one process in a soak. They send requests at random times on reused and new
+//! connections. Some disconnect early, some stop in the middle of a request and stay connected, and
+//! some only hold idle connections.
 
 use super::endpoint::body_for;
 use super::records::*;
@@ -15,21 +16,22 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Requests that wait for their answers at one process, at most.
-const OPEN_LIMIT: usize = 200;
-/// A client looks for its answer so long after its time.
-const WAITS_ON: Duration = Duration::from_millis(1500);
-/// Of a hundred clients so many leave before their time, and so many have very little time.
-const LEAVE_PERCENT: u32 = 4;
-const LITTLE_TIME_PERCENT: u32 = 3;
-/// New connections come for so long after the word to stop (the protocol page: 0.2 to 0.4 s).
-const NEW_AFTER_WORD: Duration = Duration::from_millis(300);
-/// Kept connections of one process, at most.
-const KEPT_LIMIT: usize = 12;
-/// How long bad clients look for an answer or a close.
-const BAD_CLIENTS_LOOK: Duration = Duration::from_secs(6);
-/// What bad clients send.
-const HALVES: [&str; 4] = [
+/// Maximum number of requests in progress at one process.
+const OPEN_REQUEST_LIMIT: usize = 200;
+/// How long a client waits for its answer after its timeout.
+const ANSWER_GRACE: Duration = Duration::from_millis(1500);
+/// Percentage of requests whose client disconnects before its timeout, and percentage of requests
+/// with a very short timeout.
+const DISCONNECT_PERCENT: u32 = 4;
+const SHORT_TIMEOUT_PERCENT: u32 = 3;
+/// New connections arrive for this long after SIGTERM (the protocol specification: 0.2 to 0.4 s).
+const CONNECTS_AFTER_SIGTERM: Duration = Duration::from_millis(300);
+/// Maximum number of idle connections kept open to one process for reuse.
+const IDLE_CONNECTION_LIMIT: usize = 12;
+/// How long a bad client waits for an answer or a close.
+const BAD_CLIENT_WAIT: Duration = Duration::from_secs(6);
+/// What bad clients send: incomplete or invalid requests.
+const BAD_REQUESTS: [&str; 4] = [
     "GET /view/1 HTTP/1.1\r\nHost: soak\r\nX-Corr",
     "POST /order/1 HTTP/1.1\r\nHost: soak\r\nContent-Length: 4000\r\nIdempotency-Key: k\r\n\r\nhalf",
     "\u{1}\u{2}noise\r\n\r\n",
@@ -46,117 +48,120 @@
 
 /// The clients of one process.
 pub struct Clients {
-    /// Whom they ask.
+    /// The address of the process that they send requests to.
     pub address: SocketAddr,
     member: usize,
-    began: Instant,
-    patience: [Duration; 3],
-    kept: RefCell<Vec<Connection>>,
-    open: Cell<usize>,
-    next: Cell<u64>,
+    run_start: Instant,
+    client_timeouts: [Duration; 3],
+    idle_connections: RefCell<Vec<Connection>>,
+    open_requests: Cell<usize>,
+    next_number: Cell<u64>,
     random: RefCell<fastrand::Rng>,
-    leave: Event,
-    word: Cell<Option<Instant>>,
-    over: Cell<bool>,
-    /// What became of their requests.
+    disconnect: Event,
+    sigterm_at: Cell<Option<Instant>>,
+    stopped: Cell<bool>,
+    /// The requests that have ended.
     pub requests: RefCell<Vec<Request>>,
-    /// Bad clients.
-    pub bad: RefCell<Vec<BadClient>>,
-    /// When idle ones filled the descriptors.
-    pub crowds: RefCell<Vec<(usize, Moment, Moment)>>,
+    /// The bad clients that have ended.
+    pub bad_clients: RefCell<Vec<BadClient>>,
+    /// The process (by index) and the start and end of each period in which idle connections filled
+    /// its descriptors.
+    pub idle_connection_periods: RefCell<Vec<(usize, Timestamp, Timestamp)>>,
 }
 
 impl Clients {
-    /// Clients of a process, that have not begun.
+    /// Creates the clients of a process; [`Clients::run`] starts their requests.
     pub fn new(
         address: SocketAddr,
         member: usize,
-        began: Instant,
+        run_start: Instant,
         seed: u64,
-        patience: [Duration; 3],
+        client_timeouts: [Duration; 3],
     ) -> Rc<Clients> {
         Rc::new(Clients {
             address,
             member,
-            began,
-            patience,
-            kept: RefCell::default(),
-            open: Cell::new(0),
-            next: Cell::new(0),
+            run_start,
+            client_timeouts,
+            idle_connections: RefCell::default(),
+            open_requests: Cell::new(0),
+            next_number: Cell::new(0),
             random: RefCell::new(fastrand::Rng::with_seed(seed.wrapping_add(member as u64))),
-            leave: Event::new(),
-            word: Cell::new(None),
-            over: Cell::new(false),
+            disconnect: Event::new(),
+            sigterm_at: Cell::new(None),
+            stopped: Cell::new(false),
             requests: RefCell::default(),
-            bad: RefCell::default(),
-            crowds: RefCell::default(),
+            bad_clients: RefCell::default(),
+            idle_connection_periods: RefCell::default(),
         })
     }
 
-    /// Requests that wait for their answers.
-    pub fn open(&self) -> usize {
-        self.open.get()
+    /// Number of requests in progress.
+    pub fn open_requests(&self) -> usize {
+        self.open_requests.get()
     }
 
-    /// The process has been told to stop: no new connections come soon.
-    pub fn word_to_stop(&self) {
-        self.word.set(Some(Instant::now()));
+    /// Notes that the process has received SIGTERM: new connections stop shortly afterwards.
+    pub fn note_sigterm(&self) {
+        self.sigterm_at.set(Some(Instant::now()));
     }
 
-    /// No more requests are sent.
-    pub fn end(&self) {
-        self.over.set(true);
+    /// Stops sending new requests.
+    pub fn stop(&self) {
+        self.stopped.set(true);
     }
 
-    /// All that wait leave now.
-    pub fn all_leave(&self) {
-        self.leave.notify(usize::MAX);
+    /// Disconnects all clients that are waiting for an answer.
+    pub fn disconnect_all(&self) {
+        self.disconnect.notify(usize::MAX);
     }
 
-    /// Sends so many requests a second until the end.
+    /// Sends `rate` requests per second until the clients are stopped.
     pub async fn run(self: Rc<Self>, executor: Executor, rate: f64) {
-        let mut due = Instant::now();
-        while !self.over.get() {
-            let pause = -self.random.borrow_mut().f64().max(1e-9).ln() / rate;
-            due += Duration::from_secs_f64(pause);
-            Timer::at(due).await;
-            if self.open.get() < OPEN_LIMIT && !self.over.get() {
-                self.open.set(self.open.get() + 1);
+        let mut next_at = Instant::now();
+        while !self.stopped.get() {
+            let interval = -self.random.borrow_mut().f64().max(1e-9).ln() / rate;
+            next_at += Duration::from_secs_f64(interval);
+            Timer::at(next_at).await;
+            if self.open_requests.get() < OPEN_REQUEST_LIMIT && !self.stopped.get() {
+                self.open_requests.set(self.open_requests.get() + 1);
                 let this = self.clone();
                 executor
                     .spawn(async move {
-                        this.request().await;
-                        this.open.set(this.open.get() - 1);
+                        this.run_request().await;
+                        this.open_requests.set(this.open_requests.get() - 1);
                     })
                     .detach();
             }
         }
     }
 
-    async fn request(&self) {
+    async fn run_request(&self) {
         let class = self.random.borrow_mut().usize(0..CLASSES.len());
-        let kept = self.kept.borrow_mut().pop();
-        let on_kept = kept.is_some();
-        let connection = match kept {
+        let reused = self.idle_connections.borrow_mut().pop();
+        let on_reused = reused.is_some();
+        let connection = match reused {
             Some(connection) => connection,
-            None if self.takes_no_new() => return,
+            None if self.opens_no_connections() => return,
             None => match self.connect().await {
                 Ok(connection) => connection,
                 Err(_) => return,
             },
         };
-        let request = self.send_on(connection, class, on_kept).await;
-        let again = on_kept && request.end == RequestEnd::Broken && !self.takes_no_new();
+        let request = self.send_on(connection, class, on_reused).await;
+        let retry = on_reused && request.end == RequestEnd::Broken && !self.opens_no_connections();
         self.requests.borrow_mut().push(request);
-        // A close may have crossed the request: it is sent once more on a new connection.
-        if again && let Ok(connection) = self.connect().await {
+        // The process may have closed the connection while the request was on its way, so the
+        // request is sent once more on a new connection.
+        if retry && let Ok(connection) = self.connect().await {
             let request = self.send_on(connection, class, false).await;
             self.requests.borrow_mut().push(request);
         }
     }
 
-    fn takes_no_new(&self) -> bool {
-        self.over.get() || self.word.get().is_some_and(|word| word.elapsed() > NEW_AFTER_WORD)
+    fn opens_no_connections(&self) -> bool {
+        self.stopped.get()
+            || self.sigterm_at.get().is_some_and(|sigterm_at| sigterm_at.elapsed() > CONNECTS_AFTER_SIGTERM)
     }
 
     async fn connect(&self) -> io::Result<Connection> {
@@ -166,27 +171,32 @@
     }
 
     /// Sends a request and waits until it has ended.
-    async fn send_on(&self, mut connection: Connection, class: usize, on_kept_connection: bool) -> Request {
-        let number = self.next.replace(self.next.get() + 1);
+    async fn send_on(
+        &self,
+        mut connection: Connection,
+        class: usize,
+        on_reused_connection: bool,
+    ) -> Request {
+        let number = self.next_number.replace(self.next_number.get() + 1);
         let id = format!("m{}-{number}", self.member);
         let (name, method, effect) = CLASSES[class];
-        let (patience, leaves_after) = self.draw_times(self.patience[class]);
+        let (client_timeout, disconnect_after) = self.draw_times(self.client_timeouts[class]);
         let path = format!("/{name}/{number}");
-        let text = request_text(method, &path, name, &id, patience, effect);
+        let text = request_text(method, &path, name, &id, client_timeout, effect);
         let mut request = Request {
             id,
             member: self.member,
             effect,
             sent: Duration::ZERO,
-            patience,
-            end: RequestEnd::NotTaken,
+            client_timeout,
+            end: RequestEnd::NotSent,
             ended: Duration::ZERO,
-            on_kept_connection,
-            fault: None,
+            on_reused_connection,
+            answer_error: None,
         };
-        let leave = self.leave.listen();
+        let disconnect = self.disconnect.listen();
         let written = connection.stream.write_all(text.as_bytes()).await;
-        request.sent = self.began.elapsed();
+        request.sent = self.run_start.elapsed();
         request.ended = request.sent;
         if written.is_err() {
             return request;
@@ -195,81 +205,91 @@
             let answered =
                 http::read_one_answer(&mut connection.buffer, &mut connection.stream, http::BODY_LIMIT);
             match answered.await {
-                Ok(Some((_, status, body, keep))) => {
+                Ok(Some((_, status, body, reusable))) => {
                     let genuine = body == body_for(&path).as_bytes();
-                    (RequestEnd::Answered { status, genuine }, keep, None)
+                    (RequestEnd::Answered { status, genuine }, reusable, None)
                 }
                 Ok(None) => (RequestEnd::Broken, false, Some("an interim answer".to_owned())),
-                Err(fault) => (RequestEnd::Broken, false, Some(fault.to_string())),
+                Err(error) => (RequestEnd::Broken, false, Some(error.to_string())),
             }
         };
-        let leaves = async {
+        let disconnects = async {
             let early = async {
-                match leaves_after {
+                match disconnect_after {
                     Some(after) => drop(Timer::after(after).await),
                     None => future::pending().await,
                 }
             };
-            future::or(early, leave).await;
-            (RequestEnd::Left, false, None)
+            future::or(early, disconnect).await;
+            (RequestEnd::Disconnected, false, None)
         };
-        let gives_up = async {
-            Timer::after(patience + WAITS_ON).await;
+        let times_out = async {
+            Timer::after(client_timeout + ANSWER_GRACE).await;
             (RequestEnd::Unanswered, false, None)
         };
-        let (end, keep, fault) = future::or(answer, future::or(leaves, gives_up)).await;
-        if end == RequestEnd::Left {
-            // Not by dropping it alone: a process that is being started holds copies of all descriptors for a moment.
+        let (end, reusable, error) = future::or(answer, future::or(disconnects, times_out)).await;
+        if end == RequestEnd::Disconnected {
+            // Dropping the stream would not be enough: a process that is being started holds copies
+            // of all descriptors for a moment.
             let _ = connection.stream.get_ref().shutdown(Shutdown::Both);
-        } else if keep && connection.buffer.is_empty() && self.kept.borrow().len() < KEPT_LIMIT {
-            self.kept.borrow_mut().push(connection);
+        } else if reusable
+            && connection.buffer.is_empty()
+            && self.idle_connections.borrow().len() < IDLE_CONNECTION_LIMIT
+        {
+            self.idle_connections.borrow_mut().push(connection);
         }
-        request.ended = self.began.elapsed();
-        (request.end, request.fault) = (end, fault);
+        request.ended = self.run_start.elapsed();
+        (request.end, request.answer_error) = (end, error);
         request
     }
 
-    /// How long a client waits, and when it leaves, if before.
-    fn draw_times(&self, usual: Duration) -> (Duration, Option<Duration>) {
+    /// Draws the client timeout of a request and, if the client disconnects before that, the time
+    /// after which it does.
+    fn draw_times(&self, class_timeout: Duration) -> (Duration, Option<Duration>) {
         let mut random = self.random.borrow_mut();
-        let little = random.u32(0..100) < LITTLE_TIME_PERCENT;
-        let patience = if little { Duration::from_millis(random.u64(1..40)) } else { usual };
-        let leaves = (random.u32(0..100) < LEAVE_PERCENT).then(|| patience.mul_f64(random.f64() * 0.3));
-        (patience, leaves)
+        let short = random.u32(0..100) < SHORT_TIMEOUT_PERCENT;
+        let client_timeout = if short { Duration::from_millis(random.u64(1..40)) } else { class_timeout };
+        let disconnect_after =
+            (random.u32(0..100) < DISCONNECT_PERCENT).then(|| client_timeout.mul_f64(random.f64() * 0.3));
+        (client_timeout, disconnect_after)
     }
 
-    /// Clients that stop in the middle of a request, and stay.
-    pub async fn bad_clients(self: Rc<Self>, executor: Executor) {
-        for half in HALVES {
+    /// Starts clients that stop in the middle of a request and stay connected.
+    pub async fn start_bad_clients(self: Rc<Self>, executor: Executor) {
+        for text in BAD_REQUESTS {
             let this = self.clone();
-            executor.spawn(async move { drop(this.bad_client(half).await) }).detach();
+            executor.spawn(async move { drop(this.run_bad_client(text).await) }).detach();
         }
     }
 
-    async fn bad_client(&self, half: &str) -> io::Result<()> {
+    async fn run_bad_client(&self, text: &str) -> io::Result<()> {
         let mut connection = self.connect().await?;
-        connection.stream.write_all(half.as_bytes()).await?;
-        let sent = self.began.elapsed();
-        let ended = within(BAD_CLIENTS_LOOK, async {
-            // An answer, an end and a reset are all fine.
+        connection.stream.write_all(text.as_bytes()).await?;
+        let sent = self.run_start.elapsed();
+        let ended = within(BAD_CLIENT_WAIT, async {
+            // An answer, an end of stream and a reset are all acceptable.
             let _ = connection.stream.read(&mut [0; 64]).await;
-            Ok(self.began.elapsed())
+            Ok(self.run_start.elapsed())
         });
         let ended = ended.await.ok();
-        self.bad.borrow_mut().push(BadClient { member: self.member, sent, ended });
+        self.bad_clients.borrow_mut().push(BadClient { member: self.member, sent, ended });
         Ok(())
     }
 
-    /// Idle clients that hold so many connections for so long.
-    pub async fn idle_crowd(self: Rc<Self>, count: usize, lasts: Duration) {
-        let from = self.began.elapsed();
+    /// Opens `count` idle connections and holds them for `duration`.
+    pub async fn hold_idle_connections(self: Rc<Self>, count: usize, duration: Duration) {
+        let from = self.run_start.elapsed();
         let mut held = Vec::new();
         for _ in 0..count {
             held.extend(self.connect().await.ok());
         }
-        Timer::after(lasts).await;
+        Timer::after(duration).await;
         drop(held);
-        self.crowds.borrow_mut().push((self.member, from, self.began.elapsed() + Duration::from_secs(1)));
+        self.idle_connection_periods.borrow_mut().push((
+            self.member,
+            from,
+            self.run_start.elapsed() + Duration::from_secs(1),
+        ));
     }
 }
 
@@ -278,7 +298,7 @@
     path: &str,
     class: &str,
     id: &str,
-    patience: Duration,
+    client_timeout: Duration,
     effect: Effect,
 ) -> String {
     let key = match effect {
@@ -290,6 +310,6 @@
     format!(
         "{method} {path} HTTP/1.1\r\nHost: soak.internal\r\nX-Correlation-Id: {id}\r\nX-Service-Class: {class}\r\n\
          X-Account: office\r\nX-Time-Left-Ms: {}\r\n{key}\r\n{body}",
-        patience.as_millis()
+        client_timeout.as_millis()
     )
 }
--- a/crates/lab/src/soak/discovery.rs
+++ b/crates/lab/src/soak/discovery.rs
@@ -1,4 +1,5 @@
-//! The stand-in discovery of a soak: one list, two addresses for each process, and what it does with polls by condition.
+//! The discovery stand-in of a soak: one endpoint list, two addresses for each process, and the
+//! handling of polls by the current [`DiscoveryCondition`].
 
 use super::addresses;
 use super::plan::{DiscoveryCondition, WatchFault};
@@ -17,82 +18,86 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A poll so soon after the last answer on its connection continues a watch (the protocol page).
-const CONTINUES_WITHIN: Duration = Duration::from_millis(200);
-/// A poll that is turned away at once is, after so long.
-const AT_ONCE: Duration = Duration::from_millis(6);
-/// A poll that finds a place in a full queue is served after so long, drawn.
-const QUEUE: (f64, f64) = (0.2, 1.0);
-const LONGEST_HOLD: Duration = Duration::from_secs(60);
+/// A poll that follows the last answer on its connection within this time continues a watch (the
+/// protocol specification).
+const WATCH_CONTINUES_WITHIN: Duration = Duration::from_millis(200);
+/// Delay before a poll is rejected "at once", and before listening is retried.
+const REJECT_DELAY: Duration = Duration::from_millis(6);
+/// Bounds, in seconds, of the random delay of a poll that finds a place in a full queue.
+const QUEUE_DELAY_S: (f64, f64) = (0.2, 1.0);
+const MAX_HOLD: Duration = Duration::from_secs(60);
 
-/// How many addresses each process knows discovery by.
-pub const PLACES: usize = 2;
+/// Number of discovery addresses that each process is given.
+pub const ADDRESSES_PER_PROCESS: usize = 2;
 
-/// What becomes of an open watch.
+/// How an open watch ends.
 #[derive(Clone, Copy)]
 enum WatchEnd {
-    News,
-    TimeIsUp,
+    Changed,
+    HoldExpired,
     Down,
     Fault(WatchFault),
 }
 
-/// A poll under way, as the records need it.
+/// A poll in progress, as the records need it.
 #[derive(Clone, Copy)]
 struct Watch {
     member: usize,
-    begun: Moment,
+    opened: Timestamp,
     hold: Duration,
 }
 
-/// The stand-in.
+/// The discovery stand-in.
 pub struct Discovery {
-    began: Instant,
+    run_start: Instant,
     condition: Cell<DiscoveryCondition>,
     condition_changed: Event,
     watch_fault: Cell<(u64, WatchFault)>,
     version: Cell<u64>,
-    /// Each line with the version in which it last changed.
+    /// Each line of the list with the version in which it last changed.
     lines: RefCell<BTreeMap<String, (u64, Line)>>,
-    news: Event,
+    list_changed: Event,
     random: RefCell<fastrand::Rng>,
-    /// When it could be reached, and so on: what the oracle needs.
-    pub reachable: RefCell<Vec<Reachable>>,
-    /// For each process, versions written.
-    pub written: RefCell<Vec<Vec<(u64, Moment)>>>,
-    /// Watches that fell silent.
+    /// The periods in which discovery was reachable.
+    pub reachable_periods: RefCell<Vec<ReachablePeriod>>,
+    /// For each process, the versions sent to it, and when.
+    pub sent_versions: RefCell<Vec<Vec<(u64, Timestamp)>>>,
+    /// Watches that became silent.
     pub silent_watches: RefCell<Vec<SilentWatch>>,
-    /// Polls by what became of them.
+    /// Counts of polls by outcome.
     pub polls: Cell<Polls>,
 }
 
 impl Discovery {
-    /// A discovery that is up, with an empty list.
-    pub fn new(began: Instant, seed: u64) -> Rc<Discovery> {
+    /// Creates a discovery stand-in that is up and has an empty list.
+    pub fn new(run_start: Instant, seed: u64) -> Rc<Discovery> {
         Rc::new(Discovery {
-            began,
+            run_start,
             condition: Cell::new(DiscoveryCondition::Up),
             condition_changed: Event::new(),
-            watch_fault: Cell::new((0, WatchFault::AreReset)),
+            watch_fault: Cell::new((0, WatchFault::Reset)),
             version: Cell::new(0),
             lines: RefCell::default(),
-            news: Event::new(),
+            list_changed: Event::new(),
             random: RefCell::new(fastrand::Rng::with_seed(seed)),
-            reachable: RefCell::new(vec![Reachable { from: Duration::ZERO, until: None }]),
-            written: RefCell::default(),
+            reachable_periods: RefCell::new(vec![ReachablePeriod { from: Duration::ZERO, until: None }]),
+            sent_versions: RefCell::default(),
             silent_watches: RefCell::default(),
             polls: Cell::default(),
         })
     }
 
-    /// Listens for one more process, and says where.
-    pub fn add_member(self: &Rc<Self>, executor: &Executor) -> io::Result<[SocketAddr; PLACES]> {
+    /// Starts listening for one more process and returns the addresses.
+    pub fn add_member(
+        self: &Rc<Self>,
+        executor: &Executor,
+    ) -> io::Result<[SocketAddr; ADDRESSES_PER_PROCESS]> {
         let member = {
-            let mut written = self.written.borrow_mut();
-            written.push(Vec::new());
-            written.len() - 1
+            let mut sent_versions = self.sent_versions.borrow_mut();
+            sent_versions.push(Vec::new());
+            sent_versions.len() - 1
         };
-        let mut addresses = [SocketAddr::from((addresses::host(), 0)); PLACES];
+        let mut addresses = [SocketAddr::from((addresses::host(), 0)); ADDRESSES_PER_PROCESS];
         for address in &mut addresses {
             let listener = addresses::listen()?;
             *address = listener.local_addr()?;
@@ -102,25 +107,26 @@
         Ok(addresses)
     }
 
-    /// Changes a line of the list and says the new version.
-    pub fn list(&self, line: Line) -> u64 {
+    /// Updates a line of the list and returns the new version.
+    pub fn update_line(&self, line: Line) -> u64 {
         let version = self.version.get() + 1;
         self.version.set(version);
         self.lines.borrow_mut().insert(line.instance_id.clone(), (version, line));
-        self.news.notify(usize::MAX);
+        self.list_changed.notify(usize::MAX);
         version
     }
 
-    /// Changes what it does with polls.
-    pub fn change(&self, condition: DiscoveryCondition) {
+    /// Changes how polls are handled.
+    pub fn set_condition(&self, condition: DiscoveryCondition) {
         let was_reachable = self.condition.replace(condition).is_reachable();
-        let now = self.began.elapsed();
-        let mut reachable = self.reachable.borrow_mut();
+        let now = self.run_start.elapsed();
+        let mut reachable = self.reachable_periods.borrow_mut();
         match (was_reachable, condition.is_reachable()) {
-            (true, false) => {
-                reachable.iter_mut().filter(|r| r.until.is_none()).for_each(|r| r.until = Some(now))
-            }
-            (false, true) => reachable.push(Reachable { from: now, until: None }),
+            (true, false) => reachable
+                .iter_mut()
+                .filter(|period| period.until.is_none())
+                .for_each(|period| period.until = Some(now)),
+            (false, true) => reachable.push(ReachablePeriod { from: now, until: None }),
             _ => {}
         }
         drop(reachable);
@@ -133,16 +139,17 @@
         self.condition_changed.notify(usize::MAX);
     }
 
-    /// The whole list, as it stands in a configuration too.
+    /// The whole list as JSON, in the form that a configuration also contains.
     pub fn whole_list(&self) -> String {
-        self.answer(None)
+        self.list_json(None)
     }
 
-    fn answer(&self, from: Option<u64>) -> String {
+    fn list_json(&self, from: Option<u64>) -> String {
         let lines = self.lines.borrow();
         let wanted = |(changed, line): &&(u64, Line)| match from {
             Some(from) => *changed > from,
-            // A whole list leaves out what drains: that is gone, also where it still answers.
+            // A whole list leaves out draining endpoints: for its reader they are removed, even
+            // while they still answer.
             None => line.lifecycle == "active",
         };
         let instances: Vec<&Line> = lines.values().filter(wanted).map(|(_, line)| line).collect();
@@ -155,7 +162,8 @@
         }
     }
 
-    /// Accepts for as long as it listens; while it refuses, nobody does.
+    /// Accepts connections on `address`. The listener is closed while discovery refuses
+    /// connections.
     async fn accept(
         self: Rc<Self>,
         executor: Executor,
@@ -174,11 +182,11 @@
             if listener.is_none() {
                 listener = TcpListener::bind(address).and_then(Async::new).ok();
             }
-            let Some(listens) = &listener else {
-                Timer::after(AT_ONCE).await;
+            let Some(open_listener) = &listener else {
+                Timer::after(REJECT_DELAY).await;
                 continue;
             };
-            let accepted = future::or(async { listens.accept().await.ok() }, async {
+            let accepted = future::or(async { open_listener.accept().await.ok() }, async {
                 changed.await;
                 None
             });
@@ -194,36 +202,37 @@
         let (mut buffer, mut reader) = (Buffer::default(), &stream);
         let mut last_answer: Option<Instant> = None;
         while let Ok(Some(head)) = http::read_head(&mut buffer, &mut reader, http::begins_request).await {
-            let begun = Instant::now();
-            let continues = last_answer.is_some_and(|last| last.elapsed() <= CONTINUES_WITHIN);
-            let (from, hold) = query(&head);
-            let watch = Watch { member, begun: begun.saturating_duration_since(self.began), hold };
+            let opened = Instant::now();
+            let continues = last_answer.is_some_and(|last| last.elapsed() <= WATCH_CONTINUES_WITHIN);
+            let (from, hold) = poll_query(&head);
+            let watch = Watch { member, opened: opened.saturating_duration_since(self.run_start), hold };
             if !continues && !self.admit(&stream, watch).await? {
                 continue;
             }
-            let end = self.wait(from, hold).await;
+            let end = self.wait_for_change(from, hold).await;
             match end {
-                // Nothing is written to a caller that has closed.
-                WatchEnd::News | WatchEnd::TimeIsUp if !is_there(&stream) => return Ok(()),
-                WatchEnd::News | WatchEnd::TimeIsUp => {
-                    let (version, body) = (self.version.get(), self.answer(from));
+                // Nothing is written to a client that has closed its connection.
+                WatchEnd::Changed | WatchEnd::HoldExpired if !is_there(&stream) => return Ok(()),
+                WatchEnd::Changed | WatchEnd::HoldExpired => {
+                    let (version, body) = (self.version.get(), self.list_json(from));
                     self.send(&stream, &body).await?;
-                    self.written.borrow_mut()[member].push((version, self.began.elapsed()));
+                    self.sent_versions.borrow_mut()[member].push((version, self.run_start.elapsed()));
                     last_answer = (!hold.is_zero()).then(Instant::now);
                 }
-                WatchEnd::Down => return self.go_down(&stream, watch).await,
-                WatchEnd::Fault(WatchFault::AreReset) => return reset(&stream),
-                WatchEnd::Fault(WatchFault::EndInMidAnswer) => {
+                WatchEnd::Down => return self.end_watch(&stream, watch).await,
+                WatchEnd::Fault(WatchFault::Reset) => return reset(&stream),
+                WatchEnd::Fault(WatchFault::TruncatedAnswer) => {
                     (&stream).write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"gen").await?;
                     return Ok(());
                 }
-                WatchEnd::Fault(WatchFault::FallSilent) => return self.stay_silent(&stream, watch).await,
+                WatchEnd::Fault(WatchFault::Silence) => return self.stay_silent(&stream, watch).await,
             }
         }
         Ok(())
     }
 
-    /// Whether a poll is served, after what its condition asks of it; the answer of one that is not is sent here.
+    /// Applies the current condition to a poll and returns whether the poll is to be served. The
+    /// answer of a poll that is not served is sent here.
     async fn admit(&self, stream: &Async<TcpStream>, watch: Watch) -> io::Result<bool> {
         let draw = self.random.borrow_mut().f64();
         match self.condition.get() {
@@ -232,53 +241,57 @@
                 Timer::after(after).await;
                 Ok(true)
             }
-            DiscoveryCondition::Crowded(of_hundred) if draw * 100.0 < f64::from(of_hundred) => {
-                self.count(|polls| polls.turned_away += 1);
-                self.refuse(stream, AT_ONCE).await?;
+            DiscoveryCondition::Overloaded(percent) if draw * 100.0 < f64::from(percent) => {
+                self.count_poll(|polls| polls.rejected += 1);
+                self.answer_unavailable(stream, REJECT_DELAY).await?;
                 Ok(false)
             }
-            DiscoveryCondition::Crowded(_) => {
-                Timer::after(Duration::from_secs_f64(QUEUE.0 + (QUEUE.1 - QUEUE.0) * draw)).await;
+            DiscoveryCondition::Overloaded(_) => {
+                Timer::after(Duration::from_secs_f64(
+                    QUEUE_DELAY_S.0 + (QUEUE_DELAY_S.1 - QUEUE_DELAY_S.0) * draw,
+                ))
+                .await;
                 Ok(true)
             }
             DiscoveryCondition::Unavailable(after) => {
-                self.count(|polls| polls.failed += 1);
-                self.refuse(stream, after).await?;
+                self.count_poll(|polls| polls.failed += 1);
+                self.answer_unavailable(stream, after).await?;
                 Ok(false)
             }
             DiscoveryCondition::Resets | DiscoveryCondition::Refuses => {
-                self.count(|polls| polls.failed += 1);
+                self.count_poll(|polls| polls.failed += 1);
                 reset(stream)?;
                 Err(io::ErrorKind::ConnectionReset.into())
             }
             DiscoveryCondition::Silent => {
-                self.count(|polls| polls.failed += 1);
+                self.count_poll(|polls| polls.failed += 1);
                 self.stay_silent(stream, watch).await?;
                 Err(io::ErrorKind::TimedOut.into())
             }
         }
     }
 
-    /// Ends an open watch as discovery goes down.
-    async fn go_down(&self, stream: &Async<TcpStream>, watch: Watch) -> io::Result<()> {
+    /// Ends an open watch when discovery goes down.
+    async fn end_watch(&self, stream: &Async<TcpStream>, watch: Watch) -> io::Result<()> {
         match self.condition.get() {
             DiscoveryCondition::Silent => self.stay_silent(stream, watch).await,
-            DiscoveryCondition::Unavailable(_) => self.refuse(stream, Duration::ZERO).await,
+            DiscoveryCondition::Unavailable(_) => self.answer_unavailable(stream, Duration::ZERO).await,
             _ => reset(stream),
         }
     }
 
-    async fn refuse(&self, mut stream: &Async<TcpStream>, after: Duration) -> io::Result<()> {
+    async fn answer_unavailable(&self, mut stream: &Async<TcpStream>, after: Duration) -> io::Result<()> {
         Timer::after(after).await;
         stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await
     }
 
-    /// Says nothing until the caller closes; a poll that waits is a watch that has fallen silent.
+    /// Sends nothing until the client closes the connection. A poll with a hold time is recorded as
+    /// a silent watch.
     async fn stay_silent(&self, mut stream: &Async<TcpStream>, watch: Watch) -> io::Result<()> {
-        let Watch { member, begun, hold } = watch;
+        let Watch { member, opened, hold } = watch;
         if !hold.is_zero() {
-            let silent = self.began.elapsed();
-            self.silent_watches.borrow_mut().push(SilentWatch { member, begun, hold, silent });
+            let silent_since = self.run_start.elapsed();
+            self.silent_watches.borrow_mut().push(SilentWatch { member, opened, hold, silent_since });
         }
         let mut buffer = Buffer::default();
         while buffer.fill(&mut stream).await? > 0 {
@@ -287,7 +300,7 @@
         Ok(())
     }
 
-    /// Sends an answer whole or in pieces.
+    /// Sends an answer, whole or in pieces.
     async fn send(&self, mut stream: &Async<TcpStream>, body: &str) -> io::Result<()> {
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         let bytes = [head.as_bytes(), body.as_bytes()].concat();
@@ -299,60 +312,60 @@
             stream.write_all(piece).await?;
             Timer::after(Duration::from_millis(pieces as u64 - 1)).await;
         }
-        self.count(|polls| {
+        self.count_poll(|polls| {
             let Answers { count, bytes: sent } = polls.answered;
             polls.answered = Answers { count: count + 1, bytes: sent + bytes.len() as u64 };
         });
         Ok(())
     }
 
-    fn count(&self, count: impl FnOnce(&mut Polls)) {
+    fn count_poll(&self, update: impl FnOnce(&mut Polls)) {
         let mut polls = self.polls.get();
-        count(&mut polls);
+        update(&mut polls);
         self.polls.set(polls);
     }
 
-    /// Waits until there is something for a poll.
-    async fn wait(&self, from: Option<u64>, hold: Duration) -> WatchEnd {
-        let (until, fault) = (Instant::now() + hold, self.watch_fault.get().0);
+    /// Waits until the list differs from the version `from` or the watch ends for another reason.
+    async fn wait_for_change(&self, from: Option<u64>, hold: Duration) -> WatchEnd {
+        let (until, fault_number) = (Instant::now() + hold, self.watch_fault.get().0);
         loop {
-            let (news, changed) = (self.news.listen(), self.condition_changed.listen());
+            let (list_changed, changed) = (self.list_changed.listen(), self.condition_changed.listen());
             if from != Some(self.version.get()) {
-                return WatchEnd::News;
+                return WatchEnd::Changed;
             }
-            let happened = async {
-                future::or(news, changed).await;
+            let woken = async {
+                future::or(list_changed, changed).await;
                 true
             };
-            let happened = future::or(happened, async {
+            let woken = future::or(woken, async {
                 Timer::at(until).await;
                 false
             });
-            if !happened.await {
-                return WatchEnd::TimeIsUp;
+            if !woken.await {
+                return WatchEnd::HoldExpired;
             }
             if !self.condition.get().is_reachable() {
                 return WatchEnd::Down;
             }
-            if self.watch_fault.get().0 != fault {
+            if self.watch_fault.get().0 != fault_number {
                 return WatchEnd::Fault(self.watch_fault.get().1);
             }
         }
     }
 }
 
-/// The version that a poll has, and how long it waits.
-fn query(head: &Head) -> (Option<u64>, Duration) {
+/// The version that the client has and the hold time, from the query string of a poll.
+fn poll_query(head: &Head) -> (Option<u64>, Duration) {
     let query = head.line[1].split_once('?').map_or("", |(_, query)| query);
-    let figure = |name: &str| {
+    let number = |name: &str| {
         let value = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
         value.and_then(|value| value.parse::<u64>().ok())
     };
-    let hold = Duration::from_millis(figure("hold_ms").unwrap_or(0)).min(LONGEST_HOLD);
-    (figure("from"), hold)
+    let hold = Duration::from_millis(number("hold_ms").unwrap_or(0)).min(MAX_HOLD);
+    (number("from"), hold)
 }
 
-/// Resets a connection once it is dropped.
+/// Makes a connection end with a reset when it is dropped.
 pub(super) fn reset(stream: &Async<TcpStream>) -> io::Result<()> {
     socket2::SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO))
 }
--- a/crates/lab/src/soak/endpoint.rs
+++ b/crates/lab/src/soak/endpoint.rs
@@ -1,5 +1,5 @@
-//! A stand-in endpoint of a soak: it works for a drawn time on each request, misbehaves as it is told, and notes each
-//! attempt.
+//! An endpoint stand-in of a soak. It works for a random time on each request, misbehaves as it is
+//! told to, and records each attempt.
 
 use super::addresses;
 use super::discovery::reset;
@@ -20,16 +20,17 @@
 #[cfg(test)]
 mod tests;
 
-/// Requests that a warm endpoint serves a second: as many cores as it has, by the mean work of a request.
+/// Requests per second that a warm endpoint serves: the number of its cores divided by the mean
+/// work of a request.
 pub const CAPACITY_PER_S: f64 = CORES / MEAN_WORK_S;
 const CORES: f64 = 4.0;
 const MEAN_WORK_S: f64 = 0.03;
-/// Requests in work at once; more are turned away.
-const SLOTS: usize = 32;
-/// A hung request is let go after this time, so that the run ends.
-const HANGS_FOR: Duration = Duration::from_secs(20);
-const SLOWER: f64 = 5.0;
-const AGAIN_AFTER: Duration = Duration::from_millis(4);
+/// Maximum number of requests in progress; further ones are rejected.
+const MAX_REQUESTS: usize = 32;
+/// How long a request hangs; bounded so that the run ends.
+const HANG_TIME: Duration = Duration::from_secs(20);
+const SLOW_FACTOR: f64 = 5.0;
+const FOLLOW_UP_DELAY: Duration = Duration::from_millis(4);
 
 /// A running process of an endpoint.
 struct Process {
@@ -37,49 +38,49 @@
     connections: Rc<RefCell<Vec<Task<()>>>>,
 }
 
-/// The stand-in.
+/// The endpoint stand-in.
 pub struct Endpoint {
-    /// Its place among the endpoints.
+    /// Its index among the endpoints.
     pub index: usize,
-    began: Instant,
+    run_start: Instant,
     behaviour: Cell<Behaviour>,
     process: RefCell<Option<Process>>,
-    working: Cell<usize>,
-    busy: Cell<f64>,
+    in_progress: Cell<usize>,
+    busy_s: Cell<f64>,
     served: Cell<u64>,
-    report: Cell<(Instant, f64, u64, f64, f64)>,
+    last_report: Cell<(Instant, f64, u64, f64, f64)>,
     random: RefCell<fastrand::Rng>,
     attempts: Rc<RefCell<Vec<Attempt>>>,
 }
 
 impl Endpoint {
-    /// One that is down. What it sees goes into `attempts`.
+    /// Creates an endpoint that is down. The attempts that it receives are recorded in `attempts`.
     pub fn new(
         index: usize,
-        began: Instant,
+        run_start: Instant,
         seed: u64,
         attempts: Rc<RefCell<Vec<Attempt>>>,
     ) -> Rc<Endpoint> {
         Rc::new(Endpoint {
             index,
-            began,
+            run_start,
             behaviour: Cell::new(Behaviour::Serves),
             process: RefCell::default(),
-            working: Cell::new(0),
-            busy: Cell::new(0.0),
+            in_progress: Cell::new(0),
+            busy_s: Cell::new(0.0),
             served: Cell::new(0),
-            report: Cell::new((began, 0.0, 0, 0.0, 0.0)),
+            last_report: Cell::new((run_start, 0.0, 0, 0.0, 0.0)),
             random: RefCell::new(fastrand::Rng::with_seed(seed ^ index as u64)),
             attempts,
         })
     }
 
-    /// How it behaves from now on.
-    pub fn behave(&self, behaviour: Behaviour) {
+    /// Sets how it handles requests from now on.
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         self.behaviour.set(behaviour);
     }
 
-    /// Starts its process on a new port, and says where it listens.
+    /// Starts its process on a new port and returns the address.
     pub fn start(self: &Rc<Self>, executor: &Executor) -> io::Result<SocketAddr> {
         let listener = addresses::listen()?;
         let (address, listener) = (listener.local_addr()?, Async::new(listener)?);
@@ -112,87 +113,90 @@
             if buffer.is_empty() && buffer.fill(&mut reader).await? == 0 {
                 return Ok(());
             }
-            let open = Open::begin(self);
+            let attempt = OpenAttempt::start(self);
             let head = http::read_head(&mut buffer, &mut reader, http::begins_request).await;
             let Ok(Some(head)) = head else { return Ok(()) };
-            open.note(&head);
+            attempt.record_head(&head);
             let framing = http::framing(&head, &head.line[2], Framing::Length(0));
             let Ok(framing) = framing else { return Ok(()) };
             if http::read_body(&mut buffer, &mut reader, framing, http::BODY_LIMIT).await.is_err() {
                 return Ok(());
             }
-            open.is_whole();
-            let answered = self.serve(&stream, &mut buffer, &head, &open);
+            attempt.mark_received();
+            let answered = self.serve(&stream, &mut buffer, &head, &attempt);
             if !answered.await? {
                 return Ok(());
             }
-            drop(open);
-            if self.behaviour.get() == Behaviour::ForgetsIdle {
+            drop(attempt);
+            if self.behaviour.get() == Behaviour::StopsReading {
                 return future::pending().await;
             }
         }
     }
 
-    /// Serves a request; false where its connection is to end. A caller that closes under it gives it up.
+    /// Serves a request and returns whether the connection stays open. Work stops when the client
+    /// closes the connection.
     async fn serve(
         &self,
         stream: &Async<TcpStream>,
         buffer: &mut Buffer,
         head: &Head,
-        open: &Open<'_>,
+        attempt: &OpenAttempt<'_>,
     ) -> io::Result<bool> {
         let behaviour = self.behaviour.get();
-        if behaviour == Behaviour::Full || self.working.get() >= SLOTS {
-            open.turned_away();
-            self.write(stream, "503 Service Unavailable", "X-Unprocessed: 1\r\n", "").await?;
+        if behaviour == Behaviour::Full || self.in_progress.get() >= MAX_REQUESTS {
+            attempt.mark_rejected();
+            self.write_answer(stream, "503 Service Unavailable", "X-Unprocessed: 1\r\n", "").await?;
             return Ok(true);
         }
         let work = match behaviour {
-            Behaviour::Hangs => HANGS_FOR,
+            Behaviour::Hangs => HANG_TIME,
             Behaviour::Errors => Duration::ZERO,
-            Behaviour::Slow => self.work().mul_f64(SLOWER),
-            _ => self.work(),
+            Behaviour::Slow => self.draw_work().mul_f64(SLOW_FACTOR),
+            _ => self.draw_work(),
         };
-        let working = CountedIn::new(&self.working);
+        let in_progress = CountedIn::new(&self.in_progress);
         let mut reader = stream;
-        let given_up =
+        let client_closed =
             future::or(async { buffer.fill(&mut reader).await.is_ok_and(|read| read == 0) }, async {
                 Timer::after(work).await;
                 false
             });
-        let given_up = given_up.await;
-        drop(working);
-        if given_up {
+        let client_closed = client_closed.await;
+        drop(in_progress);
+        if client_closed {
             return Ok(false);
         }
-        self.busy.set(self.busy.get() + work.as_secs_f64());
+        self.busy_s.set(self.busy_s.get() + work.as_secs_f64());
         self.served.set(self.served.get() + 1);
         let body = body_for(&head.line[1]);
         match behaviour {
             Behaviour::Hangs => Ok(false),
             Behaviour::Errors => {
-                self.write(stream, "500 Internal Server Error", "", "").await?;
+                self.write_answer(stream, "500 Internal Server Error", "", "").await?;
                 Ok(true)
             }
-            Behaviour::ResetsAfter => reset(stream).map(|()| false),
-            Behaviour::NoLength => self.write_without_length(stream, &body).await.map(|()| false),
+            Behaviour::ResetsAfterRequest => reset(stream).map(|()| false),
+            Behaviour::NoContentLength => {
+                self.write_without_content_length(stream, &body).await.map(|()| false)
+            }
             _ => {
-                self.write(stream, "200 OK", "", &body).await?;
+                self.write_answer(stream, "200 OK", "", &body).await?;
                 if behaviour == Behaviour::AnswersTwice {
-                    Timer::after(AGAIN_AFTER).await;
-                    self.write(stream, "200 OK", "", "again").await?;
+                    Timer::after(FOLLOW_UP_DELAY).await;
+                    self.write_answer(stream, "200 OK", "", "again").await?;
                 }
-                Ok(behaviour != Behaviour::ClosesIdle)
+                Ok(behaviour != Behaviour::ClosesAfterAnswer)
             }
         }
     }
 
-    fn work(&self) -> Duration {
+    fn draw_work(&self) -> Duration {
         let draw = self.random.borrow_mut().f64().max(1e-6);
         Duration::from_secs_f64((-draw.ln() * MEAN_WORK_S).min(10.0 * MEAN_WORK_S))
     }
 
-    async fn write(
+    async fn write_answer(
         &self,
         mut stream: &Async<TcpStream>,
         status: &str,
@@ -208,79 +212,85 @@
         stream.write_all(answer.as_bytes()).await
     }
 
-    /// An answer that ends with its connection; every second one is reset on the way. A clean close would make it whole, so
-    /// the reset is set before anything is sent: the connection may be dropped at any time.
-    async fn write_without_length(&self, mut stream: &Async<TcpStream>, body: &str) -> io::Result<()> {
-        let whole = self.random.borrow_mut().bool();
-        let sent = if whole { body } else { &body[..body.len() / 2] };
-        if !whole {
+    /// Sends an answer that ends with its connection. With probability one half, the answer is cut
+    /// short and the connection is reset. A clean close would make the partial answer a complete
+    /// one, so the reset is set up before anything is sent: the connection may be dropped at any
+    /// time.
+    async fn write_without_content_length(
+        &self,
+        mut stream: &Async<TcpStream>,
+        body: &str,
+    ) -> io::Result<()> {
+        let complete = self.random.borrow_mut().bool();
+        let sent = if complete { body } else { &body[..body.len() / 2] };
+        if !complete {
             reset(stream)?;
         }
         stream.write_all(format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{sent}").as_bytes()).await?;
-        if !whole {
-            Timer::after(AGAIN_AFTER).await;
+        if !complete {
+            Timer::after(FOLLOW_UP_DELAY).await;
         }
         Ok(())
     }
 
-    /// Completions a second and utilization, taken anew every 0.2 s.
+    /// Completions per second and utilization, computed anew every 0.2 s.
     fn load(&self) -> (f64, f64) {
-        let (at, busy, served, mut rate, mut utilization) = self.report.get();
+        let (at, busy_s, served, mut rate, mut utilization) = self.last_report.get();
         let passed = at.elapsed().as_secs_f64();
         if passed >= 0.2 {
             rate = (self.served.get() - served) as f64 / passed;
-            utilization = ((self.busy.get() - busy) / passed / CORES).clamp(0.001, 1.0);
-            self.report.set((Instant::now(), self.busy.get(), self.served.get(), rate, utilization));
+            utilization = ((self.busy_s.get() - busy_s) / passed / CORES).clamp(0.001, 1.0);
+            self.last_report.set((Instant::now(), self.busy_s.get(), self.served.get(), rate, utilization));
         }
         (rate, utilization)
     }
 }
 
-/// The body that endpoints make for a request.
+/// The body of an endpoint's answer to the request for `path`.
 pub fn body_for(path: &str) -> String {
     format!("served {path}\n")
 }
 
-/// An attempt that is open; dropped, it is over.
-struct Open<'a> {
+/// An attempt in progress. It is recorded as ended when this is dropped.
+struct OpenAttempt<'a> {
     endpoint: &'a Endpoint,
     attempt: RefCell<Attempt>,
 }
 
-impl<'a> Open<'a> {
-    fn begin(endpoint: &'a Endpoint) -> Open<'a> {
+impl<'a> OpenAttempt<'a> {
+    fn start(endpoint: &'a Endpoint) -> OpenAttempt<'a> {
         let attempt = Attempt {
             id: String::new(),
             endpoint: endpoint.index,
-            began: endpoint.began.elapsed(),
-            whole: None,
-            over: None,
+            started: endpoint.run_start.elapsed(),
+            received: None,
+            ended: None,
             time_left: None,
-            turned_away: false,
+            rejected: false,
         };
-        Open { endpoint, attempt: attempt.into() }
+        OpenAttempt { endpoint, attempt: attempt.into() }
     }
 
-    fn note(&self, head: &Head) {
+    fn record_head(&self, head: &Head) {
         let mut attempt = self.attempt.borrow_mut();
         attempt.id = head.get("x-correlation-id").unwrap_or_default().to_owned();
         let left = head.get("x-time-left-ms").and_then(|left| left.parse().ok());
         attempt.time_left = left.map(Duration::from_millis);
     }
 
-    fn is_whole(&self) {
-        self.attempt.borrow_mut().whole = Some(self.endpoint.began.elapsed());
+    fn mark_received(&self) {
+        self.attempt.borrow_mut().received = Some(self.endpoint.run_start.elapsed());
     }
 
-    fn turned_away(&self) {
-        self.attempt.borrow_mut().turned_away = true;
+    fn mark_rejected(&self) {
+        self.attempt.borrow_mut().rejected = true;
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for OpenAttempt<'_> {
     fn drop(&mut self) {
         let mut attempt = self.attempt.borrow_mut().clone();
-        attempt.over = Some(self.endpoint.began.elapsed());
+        attempt.ended = Some(self.endpoint.run_start.elapsed());
         if !attempt.id.is_empty() {
             self.endpoint.attempts.borrow_mut().push(attempt);
         }
--- a/crates/lab/src/soak/endpoint/tests.rs
+++ b/crates/lab/src/soak/endpoint/tests.rs
@@ -4,18 +4,18 @@
 
 const REQUEST: &[u8] = b"GET /view/1 HTTP/1.1\r\nHost: e0\r\nX-Correlation-Id: m0-1\r\n\r\n";
 
-/// An endpoint that gives answers with no length.
-fn without_length(executor: &Executor) -> (Rc<Endpoint>, SocketAddr) {
+/// An endpoint whose answers have no content length.
+fn endpoint_without_content_length(executor: &Executor) -> (Rc<Endpoint>, SocketAddr) {
     let endpoint = Endpoint::new(0, Instant::now(), 1, Rc::default());
-    let address = endpoint.start(executor).expect("it listens");
-    endpoint.behave(Behaviour::NoLength);
+    let address = endpoint.start(executor).expect("the endpoint listens");
+    endpoint.set_behaviour(Behaviour::NoContentLength);
     (endpoint, address)
 }
 
-/// Sends a request and reads until a part of the body has come.
-async fn begin_answer(address: SocketAddr) -> (Async<TcpStream>, usize) {
-    let mut stream = Async::<TcpStream>::connect(address).await.expect("it listens");
-    stream.write_all(REQUEST).await.expect("it reads");
+/// Sends a request and reads until a part of the body has arrived.
+async fn read_start_of_answer(address: SocketAddr) -> (Async<TcpStream>, usize) {
+    let mut stream = Async::<TcpStream>::connect(address).await.expect("the endpoint listens");
+    stream.write_all(REQUEST).await.expect("the request is written");
     let mut answer = Vec::new();
     loop {
         let mut piece = [0; 1024];
@@ -28,24 +28,26 @@
     }
 }
 
-/// Guards against: an answer with no length that an endpoint cut short and that ends as a whole one does, by a clean close.
+/// Guards against an answer without a content length that an endpoint cuts short but ends with a
+/// clean close, so that it looks complete.
 ///
-/// Seen in soak 9232: two answers were passed on as served that no endpoint had made. The stand-in sent half of each, and
-/// crashed before it reset the connections: they ended by a clean close, by which an answer with no length is whole.
+/// Soak 9232 reported two answers as served that no endpoint had made. The stand-in had sent half
+/// of each and crashed before it reset the connections. They ended with a clean close, which
+/// completes an answer without a content length.
 #[test]
-fn an_answer_cut_short_by_a_crash_ends_by_a_reset() {
+fn answer_cut_short_by_a_crash_ends_with_a_reset() {
     let executor: Executor = Rc::new(LocalExecutor::new());
-    let whole = body_for("/view/1").len();
+    let full_length = body_for("/view/1").len();
     for _ in 0..64 {
-        let (endpoint, address) = without_length(&executor);
-        let (mut stream, sent) = async_io::block_on(executor.run(begin_answer(address)));
-        // Nothing of the endpoint runs between the answer's first half and the crash.
+        let (endpoint, address) = endpoint_without_content_length(&executor);
+        let (mut stream, sent) = async_io::block_on(executor.run(read_start_of_answer(address)));
+        // No code of the endpoint runs between the first half of the answer and the crash.
         endpoint.crash();
-        if sent < whole {
+        if sent < full_length {
             let end = async_io::block_on(executor.run(stream.read(&mut [0; 64])));
-            assert_eq!(end.expect_err("no clean end").kind(), io::ErrorKind::ConnectionReset);
+            assert_eq!(end.expect_err("a reset").kind(), io::ErrorKind::ConnectionReset);
             return;
         }
     }
-    panic!("half of the answers are cut short");
+    panic!("none of 64 answers was cut short");
 }
--- a/crates/lab/src/soak/member.rs
+++ b/crates/lab/src/soak/member.rs
@@ -1,9 +1,9 @@
-//! One process of the program in a soak: its files, its start, signals, console and metrics.
+//! One process of the program in a soak: its files, start, signals, console and metrics.
 
 use super::addresses;
-use super::discovery::PLACES;
-use super::oracle::{COLD_FROM, COLD_MULTIPLE, COLD_WINDOW, DRAIN_GRACE, KEY_WINDOW, WARM_AFTER};
-use super::plan::{Plan, Shim};
+use super::discovery::ADDRESSES_PER_PROCESS;
+use super::oracle::{COLD_FROM, COLD_MULTIPLE, COLD_WINDOW, DRAIN_GRACE, IDEMPOTENCY_WINDOW, WARM_AFTER};
+use super::plan::{Plan, ShimFaults};
 use crate::live::within;
 use crate::rig::process::Process;
 use async_io::Async;
@@ -18,91 +18,93 @@
 use std::{fs, io};
 
 /// How long a process may take until it serves.
-const STARTS_WITHIN: Duration = Duration::from_secs(20);
-/// How long the console and the metrics may take.
-const ANSWERS_WITHIN: Duration = Duration::from_secs(3);
-/// Descriptors that a process may hold.
-const SOCKETS: u32 = 160;
-/// The library that plays failing system calls; `cargo build --workspace` puts it beside the executables.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Timeout for queries to the console and the metrics.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum number of socket descriptors of a process.
+const MAX_SOCKETS: u32 = 160;
+/// The library that injects faults into system calls; `cargo build --workspace` puts it beside the
+/// executables.
 const SHIM_FILE: &str = "libcottonpoint_shim.so";
 
 /// What a process is started with.
-pub struct Setup {
+pub struct ProcessSetup {
     /// Its state directory.
     state: PathBuf,
     arguments: Vec<OsString>,
-    config: PathBuf,
+    config_path: PathBuf,
     configuration: Value,
-    discovery: [SocketAddr; PLACES],
+    discovery: [SocketAddr; ADDRESSES_PER_PROCESS],
     environment: Vec<(OsString, OsString)>,
     program: PathBuf,
 }
 
 /// A process that serves.
-pub struct Running {
+pub struct RunningProcess {
     /// Where clients connect.
     pub address: SocketAddr,
     console: SocketAddr,
     metrics: SocketAddr,
-    setup: Setup,
-    /// Which of discovery's addresses it was last given.
-    place: usize,
+    setup: ProcessSetup,
+    /// Index of the discovery address in its current configuration.
+    discovery_index: usize,
     /// The process.
     pub process: Process,
 }
 
-impl Setup {
-    /// Writes the files of a process at that place of the fleet.
+impl ProcessSetup {
+    /// Writes the files of a process for the given slot of the fleet.
     pub fn write(
         plan: &Plan,
         folder: &Path,
-        place: usize,
-        discovery: [SocketAddr; PLACES],
-        known: &str,
+        slot: usize,
+        discovery: [SocketAddr; ADDRESSES_PER_PROCESS],
+        known_list: &str,
         program: &Path,
-    ) -> io::Result<Setup> {
-        let state = folder.join(format!("p{place}"));
+    ) -> io::Result<ProcessSetup> {
+        let state = folder.join(format!("p{slot}"));
         fs::create_dir_all(&state)?;
-        let (config, operator) = (state.join("config.json"), state.join("cottonpoint.toml"));
+        let (config_path, operator) = (state.join("config.json"), state.join("cottonpoint.toml"));
         let listen = format!("{}:0", addresses::host());
         fs::write(&operator, format!("[log]\nform = \"json\"\n\n[metrics]\nlisten = \"{listen}\"\n"))?;
-        let known: Value = serde_json::from_str(known)?;
+        let known_list: Value = serde_json::from_str(known_list)?;
         let configuration = json!({
-            "name": format!("p{place}"), "listen": listen, "console": listen,
-            "discovery": discovery[0].to_string(), "limits": { "sockets": SOCKETS },
-            "known": known, "settings": settings(plan, place),
+            "name": format!("p{slot}"), "listen": listen, "console": listen,
+            "discovery": discovery[0].to_string(), "limits": { "sockets": MAX_SOCKETS },
+            "known": known_list, "settings": settings(plan, slot),
         });
-        fs::write(&config, configuration.to_string())?;
-        let words = words_of(program).into_iter().map(OsString::from);
-        let files = ["--config".into(), config.clone().into(), "--operator".into(), operator.into()];
-        let environment = plan.shims[place].map(|shim| environment(&shim)).transpose()?.unwrap_or_default();
-        let arguments = words.chain(files).collect();
+        fs::write(&config_path, configuration.to_string())?;
+        let command = serve_command(program).into_iter().map(OsString::from);
+        let files = ["--config".into(), config_path.clone().into(), "--operator".into(), operator.into()];
+        let environment = plan.shims[slot].map(|shim| environment(&shim)).transpose()?.unwrap_or_default();
+        let arguments = command.chain(files).collect();
         let program = program.to_owned();
-        Ok(Setup { state, arguments, config, configuration, discovery, environment, program })
+        Ok(ProcessSetup { state, arguments, config_path, configuration, discovery, environment, program })
     }
 
-    /// Starts the process and waits until it serves: blocks.
-    pub fn start(self) -> io::Result<Running> {
+    /// Starts the process and blocks until it serves.
+    pub fn start(self) -> io::Result<RunningProcess> {
         let process = Process::start_with(&self.program, &self.arguments, &self.state, &self.environment)?;
         let listen = |message| -> io::Result<SocketAddr> {
-            let line = process.wait_for(message, STARTS_WITHIN)?;
+            let line = process.wait_for(message, START_TIMEOUT)?;
             let address = line["listen"].as_str().and_then(|text| text.parse().ok());
-            address.ok_or_else(|| io::Error::other(format!("no address in {line}")))
+            address.ok_or_else(|| io::Error::other(format!("no listen address in the log line {line}")))
         };
         let (metrics, console, address) =
             (listen("serves metrics")?, listen("serves the console")?, listen("serves")?);
-        Ok(Running { address, console, metrics, setup: self, place: 0, process })
+        Ok(RunningProcess { address, console, metrics, setup: self, discovery_index: 0, process })
     }
 }
 
-/// This executable holds the program as `program serve`; the program's own has `serve`.
-fn words_of(program: &Path) -> Vec<&'static str> {
+/// The laboratory's executable runs the program as `program serve`; the program's own executable
+/// has `serve`.
+fn serve_command(program: &Path) -> Vec<&'static str> {
     let name = program.file_name().unwrap_or_default();
     if name == "cottonpoint" { vec!["serve"] } else { vec!["program", "serve"] }
 }
 
-/// The environment by which the shim is loaded and told what to do.
-fn environment(shim: &Shim) -> io::Result<Vec<(OsString, OsString)>> {
+/// The environment variables that load the shim and configure its faults.
+fn environment(shim: &ShimFaults) -> io::Result<Vec<(OsString, OsString)>> {
     let folder = std::env::current_exe()?;
     let library = folder.parent().unwrap_or(Path::new(".")).join(SHIM_FILE);
     if !library.exists() {
@@ -110,16 +112,16 @@
         return Err(io::Error::new(io::ErrorKind::NotFound, text));
     }
     let (step, step_after) = shim.clock_step;
-    let (files_after, files_for) = shim.files_fail;
+    let (files_after, files_for) = shim.file_writes_fail;
     let faults = format!(
         "seed={};clock_step_ms={step};clock_step_after_ms={};accept_per_mille={};transfer_per_mille={};\
          connect_per_mille={};break_per_mille={};files_after_ms={};files_for_ms={}",
         shim.seed,
         step_after.as_millis(),
-        shim.accept_fails,
-        shim.transfers_fail,
-        shim.connects_fail,
-        shim.connections_break,
+        shim.accept_per_mille,
+        shim.transfer_per_mille,
+        shim.connect_per_mille,
+        shim.break_per_mille,
         files_after.as_millis(),
         files_for.as_millis()
     );
@@ -130,16 +132,16 @@
     u64::try_from(time.as_nanos()).unwrap_or(u64::MAX)
 }
 
-fn settings(plan: &Plan, place: usize) -> Value {
-    let class = |name: &str, semantics: &str, worth: f64, patience: Duration| {
+fn settings(plan: &Plan, slot: usize) -> Value {
+    let class = |name: &str, semantics: &str, worth: f64, client_timeout: Duration| {
         json!({
-            "name": name, "semantics": semantics, "group": "all", "window_ns": nanos(KEY_WINDOW),
-            "aim_ns": nanos(patience / 2), "give_up_ns": nanos(patience), "worth": worth,
+            "name": name, "semantics": semantics, "group": "all", "window_ns": nanos(IDEMPOTENCY_WINDOW),
+            "aim_ns": nanos(client_timeout / 2), "give_up_ns": nanos(client_timeout), "worth": worth,
         })
     };
-    let [safe, keyed, without_key] = plan.patience;
+    let [safe, keyed, without_key] = plan.client_timeouts;
     json!({
-        "me": place, "siblings": plan.members, "my_zone": 0, "azs": ["here"], "shapes": ["plain"],
+        "me": slot, "siblings": plan.members, "my_zone": 0, "azs": ["here"], "shapes": ["plain"],
         "discovery": "on_request",
         "telemetry": { "how": "piggyback", "fields": ["throughput", "utilization"] },
         "lanes": [
@@ -160,55 +162,56 @@
     })
 }
 
-impl Running {
-    /// Gives it a configuration that names discovery's other address.
+impl RunningProcess {
+    /// Gives the process a configuration that names discovery's other address.
     pub fn reload(&mut self) -> io::Result<()> {
-        self.place = (self.place + 1) % PLACES;
-        self.setup.configuration["discovery"] = json!(self.setup.discovery[self.place].to_string());
-        let beside = self.setup.config.with_extension("new");
-        fs::write(&beside, self.setup.configuration.to_string())?;
-        fs::rename(&beside, &self.setup.config)?;
+        self.discovery_index = (self.discovery_index + 1) % ADDRESSES_PER_PROCESS;
+        self.setup.configuration["discovery"] =
+            json!(self.setup.discovery[self.discovery_index].to_string());
+        let temporary = self.setup.config_path.with_extension("new");
+        fs::write(&temporary, self.setup.configuration.to_string())?;
+        fs::rename(&temporary, &self.setup.config_path)?;
         self.process.signal(Signal::HUP)
     }
 
-    /// Takes an endpoint out by hand; whether the process said yes.
-    pub async fn take_out(console: SocketAddr, endpoint: &str) -> io::Result<bool> {
-        let answer = ask(console, &format!("OFFLINE {endpoint}\n")).await?;
+    /// Takes an endpoint offline by a console command; returns whether the process confirmed it.
+    pub async fn take_offline(console: SocketAddr, endpoint: &str) -> io::Result<bool> {
+        let answer = query(console, &format!("OFFLINE {endpoint}\n")).await?;
         Ok(answer.starts_with("+OK"))
     }
 
-    /// Where its console is.
+    /// The console's address.
     pub fn console(&self) -> SocketAddr {
         self.console
     }
 
-    /// Where its metrics are.
+    /// The address of the metrics.
     pub fn metrics(&self) -> SocketAddr {
         self.metrics
     }
 }
 
-/// What a process's guard has counted, by rule, and how often its list expired.
-pub async fn counts(metrics: SocketAddr) -> io::Result<(BTreeMap<String, u64>, u64)> {
-    let page = ask(metrics, "GET /metrics HTTP/1.1\r\nHost: soak\r\n\r\n").await?;
-    let (mut violations, mut expiries) = (BTreeMap::new(), 0);
+/// The violations that a process's guard has counted, by rule, and how often its list expired.
+pub async fn guard_counts(metrics: SocketAddr) -> io::Result<(BTreeMap<String, u64>, u64)> {
+    let page = query(metrics, "GET /metrics HTTP/1.1\r\nHost: soak\r\n\r\n").await?;
+    let (mut guard_violations, mut list_expiries) = (BTreeMap::new(), 0);
     for line in page.lines() {
-        let Some((name, figure)) = line.rsplit_once(' ') else { continue };
-        let figure = figure.parse().unwrap_or(0);
+        let Some((name, value)) = line.rsplit_once(' ') else { continue };
+        let value = value.parse().unwrap_or(0);
         if let Some(rule) = name.strip_prefix("cottonpoint_rule_violations_total") {
-            violations.insert(rule.to_owned(), figure);
+            guard_violations.insert(rule.to_owned(), value);
         } else if name == "cottonpoint_list_expiries_total" {
-            expiries = figure;
+            list_expiries = value;
         }
     }
-    if violations.is_empty() {
-        return Err(io::Error::other("no figures of the guard"));
+    if guard_violations.is_empty() {
+        return Err(io::Error::other("the metrics have no counters of rule violations"));
     }
-    Ok((violations, expiries))
+    Ok((guard_violations, list_expiries))
 }
 
-async fn ask(address: SocketAddr, text: &str) -> io::Result<String> {
-    within(ANSWERS_WITHIN, async {
+async fn query(address: SocketAddr, text: &str) -> io::Result<String> {
+    within(QUERY_TIMEOUT, async {
         let mut stream = Async::<TcpStream>::connect(address).await?;
         stream.write_all(text.as_bytes()).await?;
         let mut answer = String::new();
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -1,8 +1,10 @@
-//! The fault soak: many real processes of the program among stand-ins on loopback, faults that overlap in time drawn from a
-//! seed, and the terms of the protocol page as invariants, checked by what both ends saw. See `docs/soak.md`.
+//! The fault soak runs many real processes of the program among stand-ins on loopback. Faults that
+//! overlap in time are drawn from a seed, and the rules of the protocol specification are checked
+//! as invariants on what both ends recorded. See `docs/soak.md`.
 //!
-//! `plan` draws what happens, without I/O; `play` carries it out with `discovery`, `endpoint`, `clients` and `member`;
-//! all of them write `records`; `oracle` looks for broken invariants in these, without I/O; `report` prints.
+//! `plan` draws the events of a run, without I/O. `play` carries them out with `discovery`,
+//! `endpoint`, `clients` and `member`, all of which write `records`. `oracle` looks for violated
+//! invariants in the records, without I/O, and `report` formats the results.
 
 pub mod addresses;
 pub mod clients;
@@ -18,36 +20,36 @@
 use std::io;
 use std::path::PathBuf;
 
-/// What is asked of a soak.
+/// The arguments of a soak.
 #[derive(Clone, Debug)]
 pub struct Arguments {
     /// The seed of the first run.
     pub seed: u64,
-    /// How many runs, with seeds in a row.
+    /// Number of runs, with consecutive seeds.
     pub seeds: u64,
-    /// Short runs of fewer processes.
+    /// Whether runs are short and have fewer processes.
     pub short: bool,
-    /// The program to run, in place of this executable's own.
+    /// The program to run, in place of the one in this executable.
     pub program: Option<PathBuf>,
-    /// Where the logs of a failing run's processes go.
+    /// Directory for the logs of the processes.
     pub logs: Option<PathBuf>,
 }
 
-/// Plays all runs and prints each; whether no invariant was broken.
+/// Plays all runs and prints the results; returns whether no invariant was violated.
 pub fn run(arguments: &Arguments) -> io::Result<bool> {
-    let (mut whole, mut broken) = (true, Vec::new());
+    let (mut all_hold, mut failed_seeds) = (true, Vec::new());
     for seed in arguments.seed..arguments.seed.saturating_add(arguments.seeds.max(1)) {
         let plan = plan::Plan::draw(seed, arguments.short);
         let records = play::play(&plan, arguments)?;
-        let breaches = oracle::check(&records);
-        print!("{}", report::line(&plan, &records, &breaches));
-        if !breaches.is_empty() {
-            print!("{}", report::failure(&plan, &records, &breaches, arguments));
-            whole = false;
-            broken.push(seed);
+        let violations = oracle::check(&records);
+        print!("{}", report::summary_line(&plan, &records, &violations));
+        if !violations.is_empty() {
+            print!("{}", report::failure_details(&plan, &records, &violations, arguments));
+            all_hold = false;
+            failed_seeds.push(seed);
         }
     }
     let played = arguments.seeds.max(1);
-    println!("soak: {played} seeds played, {} broke an invariant {broken:?}", broken.len());
-    Ok(whole)
+    println!("soak: {played} seeds played, {} broke an invariant {failed_seeds:?}", failed_seeds.len());
+    Ok(all_hold)
 }
--- a/crates/lab/src/soak/oracle.rs
+++ b/crates/lab/src/soak/oracle.rs
@@ -1,87 +1,96 @@
-//! The invariants of a soak, looked for in what both ends saw: no I/O.
+//! Checks the invariants of a soak on what both ends recorded, without I/O.
 //!
-//! Each time limit has the protocol page's own slack, and that of the stand-ins, which may be late themselves.
+//! Each time limit includes the slack of the protocol specification and that of the stand-ins,
+//! which may be late themselves.
 
 use super::records::*;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 use std::time::Duration;
 
+mod notification;
 #[cfg(test)]
 mod tests;
-mod told;
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Each limit of time is so much longer on sockets (the protocol page).
+/// Every time limit is extended by this on sockets (the protocol specification).
 const SOCKET_SLACK: Duration = ms(50);
-/// A stand-in on a busy machine may see something so much later than it happened, beside its measured lateness.
-const SEEN_LATE: Duration = ms(100);
-/// An answer up to so long after its time earns nothing, and breaks no rule (the operators' page).
-const ANSWER_LATE: Duration = ms(500);
-/// Something new may go to an endpoint for so long after its process was told that it leaves (the settings).
+/// On a busy machine a stand-in may record something this much later than it happened, in addition
+/// to its measured timer lateness.
+const OBSERVATION_SLACK: Duration = ms(100);
+/// An answer that is late by up to this earns nothing but violates no rule (the deployment's
+/// requirements).
+const ANSWER_SLACK: Duration = ms(500);
+/// New attempts may go to an endpoint for this long after the process was notified that it drains
+/// (the settings).
 pub const DRAIN_GRACE: Duration = ms(500);
-/// No attempt begins later than this after its client has closed (the operators' page).
-const GONE_FOR: Duration = ms(100);
-/// The slack of the time that an attempt is told (the operators' page).
+/// No attempt starts later than this after its client has closed the connection (the deployment's
+/// requirements).
+const CLIENT_GONE_SLACK: Duration = ms(100);
+/// Slack for the time left that an attempt states (the deployment's requirements).
 const TIME_LEFT_SLACK: Duration = ms(150);
-/// Bad clients get their error or close within this (the operators' page).
-const BAD_CLIENT_WITHIN: Duration = ms(3000);
-/// Requests that came so long after the word to stop are lost if SIGKILL finds them unanswered (the protocol page).
-const AFTER_WORD: Duration = ms(700);
-/// A call that takes an endpoint out is on the disk so long after the disk takes it again.
-const WRITTEN_WITHIN: Duration = ms(1500);
-/// A keyed request may be repeated for so long (the settings of a soak).
-pub const KEY_WINDOW: Duration = ms(10_000);
-/// The window in which a cold endpoint's requests are counted, the multiple, and its rate once warm (the settings and the
-/// endpoints of a soak).
+/// Bad clients receive an error or a close within this time (the deployment's requirements).
+const BAD_CLIENT_TIMEOUT: Duration = ms(3000);
+/// A request sent up to this long after SIGTERM may be lost if SIGKILL finds it unanswered (the
+/// protocol specification).
+const EXCUSED_AFTER_SIGTERM: Duration = ms(700);
+/// A command that takes an endpoint offline is stored on disk within this time once the disk
+/// accepts writes.
+const OFFLINE_PERSISTED_WITHIN: Duration = ms(1500);
+/// A keyed request may be repeated within this time (the settings of a soak).
+pub const IDEMPOTENCY_WINDOW: Duration = ms(10_000);
+/// The window in which the requests of a cold endpoint are counted. This and the following three
+/// constants are values of the settings and the endpoints of a soak.
 pub const COLD_WINDOW: Duration = ms(1500);
-/// See [`COLD_WINDOW`].
+/// Within [`COLD_WINDOW`], a cold endpoint may get at most this multiple of what its current
+/// capacity serves, plus the slack in [`cold_budget`].
 pub const COLD_MULTIPLE: f64 = 3.0;
 /// The share of its capacity that a cold endpoint begins with.
 pub const COLD_FROM: f64 = 0.3;
-/// After this time it is warm.
+/// The time after which an endpoint is warm.
 pub const WARM_AFTER: Duration = ms(5000);
 
-/// Of two attempts whose first bytes are read so close together, the later one may have been sent first: one thread
-/// reads for all stand-ins.
-const ORDER_UNSEEN: Duration = ms(5);
+/// If the first bytes of two attempts are read within this time, the attempt that was read later
+/// may have been sent first: one thread reads for all stand-ins.
+const ORDER_UNCERTAINTY: Duration = ms(5);
 
-/// A rule of the protocol page, as a soak checks it.
+/// A rule of the protocol specification, as a soak checks it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// One final answer per request before its time is over.
+    /// Each request gets one final answer before its deadline.
     Answered,
     /// A served answer is one that an endpoint made for that request.
     Genuine,
-    /// What may have run goes out again only as its class allows.
+    /// A request that may have run is sent again only as its class allows.
     NotRepeated,
-    /// One attempt at a time.
+    /// A request has at most one attempt at a time.
     OneAttempt,
-    /// Nothing new to an endpoint that leaves or has left, after the grace.
+    /// No new attempts go to a draining or removed endpoint after the grace period.
     Drain,
-    /// Nothing new for a client that has gone.
+    /// No new attempts are made for a client that has disconnected.
     ClientGone,
-    /// The time that an attempt is told is no more than its client has left.
+    /// The time left that an attempt states is no more than its client has left.
     TimeLeft,
-    /// No cold endpoint overloaded by all processes together.
+    /// No cold endpoint is overloaded by all processes together.
     SlowStart,
-    /// Bad clients get their error or close.
+    /// Bad clients receive an error or a close.
     BadClients,
-    /// A process that is told to stop ends well, before the kill.
+    /// A process that receives SIGTERM exits successfully before SIGKILL.
     Ends,
-    /// No panic, and no crash.
+    /// No process panics or crashes.
     NoPanic,
     /// The program's own guard has counted no violation.
     Guard,
-    /// An endpoint out by hand stays out, also at the next process.
+    /// An endpoint taken offline by an operator stays offline, also for the next process in the
+    /// same slot.
     StaysOut,
 }
 
 impl Invariant {
-    /// All of them.
+    /// All invariants.
     pub const ALL: [Invariant; 13] = [
         Invariant::Answered,
         Invariant::Genuine,
@@ -99,47 +108,47 @@
     ];
 }
 
-/// One break of an invariant.
+/// One violation of an invariant.
 #[derive(Clone, Debug)]
-pub struct Breach {
-    /// Which.
+pub struct Violation {
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// When.
-    pub at: Moment,
-    /// What was seen.
-    pub what: String,
+    /// When it was violated.
+    pub at: Timestamp,
+    /// What was observed.
+    pub description: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:.3} {:?}: {}", self.at.as_secs_f64(), self.invariant, self.what)
+        write!(f, "{:.3} {:?}: {}", self.at.as_secs_f64(), self.invariant, self.description)
     }
 }
 
-/// All breaks, in the order of their times.
-pub fn check(records: &Records) -> Vec<Breach> {
+/// All violations, ordered by time.
+pub fn check(records: &Records) -> Vec<Violation> {
     let oracle = Oracle::new(records);
-    let mut breaches = [
-        oracle.requests(),
-        oracle.repeats(),
-        oracle.attempts(),
-        oracle.drains(),
-        oracle.slow_starts(),
-        oracle.bad_clients(),
-        oracle.members(),
-        oracle.bans(),
+    let mut violations = [
+        oracle.check_requests(),
+        oracle.check_repeats(),
+        oracle.check_attempts(),
+        oracle.check_drains(),
+        oracle.check_slow_starts(),
+        oracle.check_bad_clients(),
+        oracle.check_members(),
+        oracle.check_offline_commands(),
     ]
     .concat();
-    breaches.sort_by_key(|breach| breach.at);
-    breaches
+    violations.sort_by_key(|violation| violation.at);
+    violations
 }
 
 struct Oracle<'a> {
     records: &'a Records,
-    /// How late a stand-in may have seen something.
-    seen_late: Duration,
+    /// How much later than it happened a stand-in may have recorded something.
+    observation_slack: Duration,
     requests: HashMap<&'a str, &'a Request>,
-    /// In the order of their beginnings.
+    /// The attempts of each request, ordered by their start.
     attempts: BTreeMap<&'a str, Vec<&'a Attempt>>,
 }
 
@@ -149,248 +158,296 @@
         for attempt in &records.attempts {
             attempts.entry(&attempt.id).or_default().push(attempt);
         }
-        attempts.values_mut().for_each(|of_one| of_one.sort_by_key(|attempt| attempt.began));
+        attempts.values_mut().for_each(|of_one| of_one.sort_by_key(|attempt| attempt.started));
         Oracle {
             records,
-            seen_late: SEEN_LATE + records.lateness,
+            observation_slack: OBSERVATION_SLACK + records.timer_lateness,
             requests: records.requests.iter().map(|request| (request.id.as_str(), request)).collect(),
             attempts,
         }
     }
 
-    fn requests(&self) -> Vec<Breach> {
-        let mut breaches = Vec::new();
+    fn check_requests(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
         for request in &self.records.requests {
-            let late = request.sent + request.patience + ANSWER_LATE + self.seen_late;
+            let latest = request.sent + request.client_timeout + ANSWER_SLACK + self.observation_slack;
             let lost = match request.end {
-                RequestEnd::Answered { .. } => request.ended > late,
-                RequestEnd::Broken => !self.may_break(request),
-                RequestEnd::Unanswered => !self.died_under(request),
-                RequestEnd::Left | RequestEnd::NotTaken => false,
+                RequestEnd::Answered { .. } => request.ended > latest,
+                RequestEnd::Broken => !self.connection_may_break(request),
+                RequestEnd::Unanswered => !self.killed_while_open(request),
+                RequestEnd::Disconnected | RequestEnd::NotSent => false,
             };
             if lost {
                 let attempts = self.attempts.get(request.id.as_str()).map_or(0, Vec::len);
-                let what = format!("{request}, {attempts} attempts");
-                breaches.push(Breach { invariant: Invariant::Answered, at: request.ended, what });
+                let description = format!("{request}, {attempts} attempts");
+                violations.push(Violation {
+                    invariant: Invariant::Answered,
+                    at: request.ended,
+                    description,
+                });
             }
             if matches!(request.end, RequestEnd::Answered { status: 200, genuine: false }) {
                 let invariant = Invariant::Genuine;
-                breaches.push(Breach { invariant, at: request.ended, what: request.to_string() });
+                violations.push(Violation {
+                    invariant,
+                    at: request.ended,
+                    description: request.to_string(),
+                });
             }
         }
-        breaches
+        violations
     }
 
-    /// Whether a connection may end under a request: its process was killed, or it had not read the request.
-    fn may_break(&self, request: &Request) -> bool {
+    /// Whether a connection may end with a request on it: the process was killed, or it had not
+    /// read the request.
+    fn connection_may_break(&self, request: &Request) -> bool {
         let unread = !self.attempts.contains_key(request.id.as_str());
-        let crowd = self.records.crowded_clients.iter();
-        let crowded = { crowd }.any(|(member, from, until)| {
+        let idle_periods = self.records.idle_connection_periods.iter();
+        let during_idle_period = { idle_periods }.any(|(member, from, until)| {
             *member == request.member && (*from..=*until).contains(&request.sent)
         });
-        self.died_under(request) || unread && (request.on_kept_connection || crowded)
+        self.killed_while_open(request) || unread && (request.on_reused_connection || during_idle_period)
     }
 
-    /// Whether a request's process was killed while it was open, at a time at which that excuses.
-    fn died_under(&self, request: &Request) -> bool {
+    /// Whether the request's process was killed while the request was open, at a time that excuses
+    /// the loss.
+    fn killed_while_open(&self, request: &Request) -> bool {
         let member = &self.records.members[request.member];
         let Some(killed) = member.killed else { return false };
-        let open = request.sent <= killed + self.seen_late;
+        let open = request.sent <= killed + self.observation_slack;
         match member.terminated {
-            Some(word) => {
-                open && request.sent <= word + AFTER_WORD && request.sent + request.patience >= killed
+            Some(sigterm_at) => {
+                open && request.sent <= sigterm_at + EXCUSED_AFTER_SIGTERM
+                    && request.sent + request.client_timeout >= killed
+            }
+            None => {
+                open && killed
+                    <= request.sent + request.client_timeout + ANSWER_SLACK + self.observation_slack
             }
-            None => open && killed <= request.sent + request.patience + ANSWER_LATE + self.seen_late,
         }
     }
 
-    fn repeats(&self) -> Vec<Breach> {
-        let mut breaches = Vec::new();
+    fn check_repeats(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
         for (id, attempts) in &self.attempts {
             let Some(request) = self.requests.get(id) else { continue };
             for (index, earlier) in attempts.iter().enumerate() {
-                let (Some(ran), false) = (earlier.whole, earlier.turned_away) else { continue };
-                for later in attempts[index + 1..].iter().filter(|later| later.whole.is_some()) {
+                let (Some(ran), false) = (earlier.received, earlier.rejected) else { continue };
+                for later in attempts[index + 1..].iter().filter(|later| later.received.is_some()) {
                     let allowed = match request.effect {
                         Effect::Safe => true,
-                        Effect::Keyed => later.began <= ran + KEY_WINDOW + SOCKET_SLACK + self.seen_late,
+                        Effect::Keyed => {
+                            later.started
+                                <= ran + IDEMPOTENCY_WINDOW + SOCKET_SLACK + self.observation_slack
+                        }
                         Effect::Unsafe => false,
                     };
-                    let what = format!(
+                    let description = format!(
                         "{request}; at {} from {:.3} to {:.3?}, again at {} at {:.3}",
                         self.records.endpoints[earlier.endpoint],
-                        earlier.began.as_secs_f64(),
-                        earlier.over.map(|over| over.as_secs_f64()),
+                        earlier.started.as_secs_f64(),
+                        earlier.ended.map(|ended| ended.as_secs_f64()),
                         self.records.endpoints[later.endpoint],
-                        later.began.as_secs_f64(),
+                        later.started.as_secs_f64(),
                     );
                     if !allowed {
                         let invariant = Invariant::NotRepeated;
-                        breaches.push(Breach { invariant, at: later.began, what: what.clone() });
+                        violations.push(Violation {
+                            invariant,
+                            at: later.started,
+                            description: description.clone(),
+                        });
                     }
-                    if self.are_together(earlier, later) {
-                        breaches.push(Breach { invariant: Invariant::OneAttempt, at: later.began, what });
+                    if self.are_concurrent(earlier, later) {
+                        violations.push(Violation {
+                            invariant: Invariant::OneAttempt,
+                            at: later.started,
+                            description,
+                        });
                     }
                 }
             }
         }
-        breaches
+        violations
     }
 
-    /// Whether both were open at once, in whichever order they were sent where that was not seen.
-    fn are_together(&self, earlier: &Attempt, later: &Attempt) -> bool {
+    /// Whether two attempts were open at once. Where the order in which they were sent is
+    /// uncertain, both orders are considered.
+    fn are_concurrent(&self, earlier: &Attempt, later: &Attempt) -> bool {
         let outlasts = |one: &Attempt, other: &Attempt| {
-            let whole = other.whole.unwrap_or(other.began);
-            one.over.is_none_or(|over| over > whole + self.seen_late)
+            let received = other.received.unwrap_or(other.started);
+            one.ended.is_none_or(|ended| ended > received + self.observation_slack)
         };
-        let order_seen = later.began > earlier.began + ORDER_UNSEEN + self.records.lateness;
+        let order_seen = later.started > earlier.started + ORDER_UNCERTAINTY + self.records.timer_lateness;
         outlasts(earlier, later) && (order_seen || outlasts(later, earlier))
     }
 
-    fn attempts(&self) -> Vec<Breach> {
-        let mut breaches = Vec::new();
+    fn check_attempts(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
         for attempt in &self.records.attempts {
             let Some(request) = self.requests.get(attempt.id.as_str()) else { continue };
             let endpoint = &self.records.endpoints[attempt.endpoint];
-            let at = attempt.began;
-            if request.end == RequestEnd::Left && at > request.ended + GONE_FOR + self.seen_late {
-                let what = format!("{request}, and an attempt at {endpoint}");
-                breaches.push(Breach { invariant: Invariant::ClientGone, at, what });
+            let at = attempt.started;
+            if request.end == RequestEnd::Disconnected
+                && at > request.ended + CLIENT_GONE_SLACK + self.observation_slack
+            {
+                let description = format!("{request}, and an attempt at {endpoint}");
+                violations.push(Violation { invariant: Invariant::ClientGone, at, description });
             }
-            let left = (request.sent + request.patience).saturating_sub(attempt.began);
-            if let Some(told) =
-                attempt.time_left.filter(|told| *told > left + TIME_LEFT_SLACK + self.seen_late)
+            let left = (request.sent + request.client_timeout).saturating_sub(attempt.started);
+            if let Some(stated) =
+                attempt.time_left.filter(|stated| *stated > left + TIME_LEFT_SLACK + self.observation_slack)
             {
-                let what = format!("{request}, and an attempt at {endpoint} is told {told:?} of {left:?}");
-                breaches.push(Breach { invariant: Invariant::TimeLeft, at, what });
+                let description = format!(
+                    "{request}, and an attempt at {endpoint} states {stated:?}, its client has {left:?}"
+                );
+                violations.push(Violation { invariant: Invariant::TimeLeft, at, description });
             }
         }
-        breaches
+        violations
     }
 
-    fn drains(&self) -> Vec<Breach> {
-        let mut breaches = Vec::new();
-        let mut told = told::ToldTimes::new(self.records);
+    fn check_drains(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        let mut notifications = notification::NotificationTimes::new(self.records);
         for attempt in &self.records.attempts {
             let Some(member) = self.records.member_of(&attempt.id) else { continue };
-            let Some(since) = told.left_for(member, attempt.endpoint, attempt.began) else { continue };
-            let limit = since + DRAIN_GRACE + SOCKET_SLACK + self.seen_late;
-            if attempt.began > limit {
-                let what = format!(
-                    "{} of {} went to {} {:.3} s after its process was told that it leaves",
+            let Some(since) = notifications.draining_since(member, attempt.endpoint, attempt.started)
+            else {
+                continue;
+            };
+            let limit = since + DRAIN_GRACE + SOCKET_SLACK + self.observation_slack;
+            if attempt.started > limit {
+                let description = format!(
+                    "{} of {} went to {} {:.3} s after its process was notified that it drains",
                     attempt.id,
                     self.records.members[member].name,
                     self.records.endpoints[attempt.endpoint],
-                    (attempt.began - since).as_secs_f64()
+                    (attempt.started - since).as_secs_f64()
                 );
-                breaches.push(Breach { invariant: Invariant::Drain, at: attempt.began, what });
+                violations.push(Violation {
+                    invariant: Invariant::Drain,
+                    at: attempt.started,
+                    description,
+                });
             }
         }
-        breaches
+        violations
     }
 
-    fn slow_starts(&self) -> Vec<Breach> {
-        let mut told = told::ToldTimes::new(self.records);
-        let mut breaches = Vec::new();
+    fn check_slow_starts(&self) -> Vec<Violation> {
+        let mut notifications = notification::NotificationTimes::new(self.records);
+        let mut violations = Vec::new();
         for start in self.records.changes.iter().filter(|change| change.cold) {
             let (from, until) = (start.at, start.at + WARM_AFTER);
             let of_endpoint =
                 self.records.attempts.iter().filter(|attempt| attempt.endpoint == start.endpoint);
-            let mut begun: Vec<&Attempt> =
-                of_endpoint.filter(|attempt| (from..until).contains(&attempt.began)).collect();
-            begun.sort_by_key(|attempt| attempt.began);
-            let over = begun.iter().enumerate().find_map(|(index, last)| {
-                let first = begun.partition_point(|attempt| attempt.began + COLD_WINDOW <= last.began);
-                let window = &begun[first..=index];
-                let budget = cold_budget(last.began - from);
-                let informed = window.iter().filter(|attempt| {
+            let mut attempts_while_cold: Vec<&Attempt> =
+                of_endpoint.filter(|attempt| (from..until).contains(&attempt.started)).collect();
+            attempts_while_cold.sort_by_key(|attempt| attempt.started);
+            let exceeded = attempts_while_cold.iter().enumerate().find_map(|(index, last)| {
+                let first = attempts_while_cold
+                    .partition_point(|attempt| attempt.started + COLD_WINDOW <= last.started);
+                let window = &attempts_while_cold[first..=index];
+                let budget = cold_budget(last.started - from);
+                let notified = window.iter().filter(|attempt| {
                     let member = self.records.member_of(&attempt.id);
-                    member.is_some_and(|member| told.knows(member, start.version, attempt.began))
+                    member.is_some_and(|member| {
+                        notifications.is_notified(member, start.version, attempt.started)
+                    })
                 });
-                let informed = informed.count();
-                (window.len() as f64 > budget && informed * 3 >= window.len() * 2).then_some((
-                    last.began,
+                let notified = notified.count();
+                (window.len() as f64 > budget && notified * 3 >= window.len() * 2).then_some((
+                    last.started,
                     window.len(),
                     budget,
                 ))
             });
-            if let Some((at, count, budget)) = over {
+            if let Some((at, count, budget)) = exceeded {
                 let name = &self.records.endpoints[start.endpoint];
-                let what = format!("{count} requests in a window at {name}, {budget:.1} allowed");
-                breaches.push(Breach { invariant: Invariant::SlowStart, at, what });
+                let description = format!("{count} requests in a window at {name}, {budget:.1} allowed");
+                violations.push(Violation { invariant: Invariant::SlowStart, at, description });
             }
         }
-        breaches
+        violations
     }
 
-    fn bad_clients(&self) -> Vec<Breach> {
+    fn check_bad_clients(&self) -> Vec<Violation> {
         let served = |client: &&BadClient| {
             let member = &self.records.members[client.member];
-            member.killed.is_none_or(|killed| killed > client.sent + BAD_CLIENT_WITHIN)
+            member.killed.is_none_or(|killed| killed > client.sent + BAD_CLIENT_TIMEOUT)
         };
         let late = |client: &&BadClient| {
-            let limit = client.sent + BAD_CLIENT_WITHIN + self.seen_late;
+            let limit = client.sent + BAD_CLIENT_TIMEOUT + self.observation_slack;
             client.ended.is_none_or(|ended| ended > limit)
         };
         let clients = self.records.bad_clients.iter().filter(served).filter(late);
-        let breach = |client: &BadClient| Breach {
+        let violation = |client: &BadClient| Violation {
             invariant: Invariant::BadClients,
             at: client.sent,
-            what: format!("{}: ended {:?}", self.records.members[client.member].name, client.ended),
+            description: format!("{}: ended {:?}", self.records.members[client.member].name, client.ended),
         };
-        clients.map(breach).collect()
+        clients.map(violation).collect()
     }
 
-    fn members(&self) -> Vec<Breach> {
-        let mut breaches = Vec::new();
+    fn check_members(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
         for member in &self.records.members {
             let at = member.killed.or(member.terminated).unwrap_or(member.started);
-            if member.ended_well == Some(false) {
-                let what = format!("{} did not end well by the kill", member.name);
-                breaches.push(Breach { invariant: Invariant::Ends, at, what });
+            if member.exited_cleanly == Some(false) {
+                let description = format!("{} did not exit successfully before SIGKILL", member.name);
+                violations.push(Violation { invariant: Invariant::Ends, at, description });
             }
             for line in &member.panics {
-                let what = format!("{}: {line}", member.name);
-                breaches.push(Breach { invariant: Invariant::NoPanic, at, what });
+                let description = format!("{}: {line}", member.name);
+                violations.push(Violation { invariant: Invariant::NoPanic, at, description });
             }
-            let violations = member.violations.iter().flatten().filter(|(_, count)| **count > 0);
-            for (rule, count) in violations {
-                let what = format!("{}: {count} of {rule}", member.name);
-                breaches.push(Breach { invariant: Invariant::Guard, at, what });
+            let guard_violations =
+                member.guard_violations.iter().flatten().filter(|(_, count)| **count > 0);
+            for (rule, count) in guard_violations {
+                let description = format!("{}: rule {rule} violated {count} times", member.name);
+                violations.push(Violation { invariant: Invariant::Guard, at, description });
             }
         }
-        breaches
+        violations
     }
 
-    fn bans(&self) -> Vec<Breach> {
-        let mut breaches = Vec::new();
-        for ban in &self.records.bans {
-            let banned_at = &self.records.members[ban.member];
-            let name = &banned_at.name;
-            let place = name.split('.').next().unwrap_or_default();
-            let limit = ban.confirmed + DRAIN_GRACE + SOCKET_SLACK + self.seen_late;
-            // What the disk did not take before a kill, no later process can know.
-            let written = ban.confirmed.max(banned_at.files_failed_until) + WRITTEN_WITHIN;
-            let kept = banned_at.killed.is_none_or(|killed| killed > written);
-            let same_place = |attempt: &&Attempt| {
+    fn check_offline_commands(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        for command in &self.records.offline_commands {
+            let offline_at = &self.records.members[command.member];
+            let name = &offline_at.name;
+            let slot = name.split('.').next().unwrap_or_default();
+            let limit = command.confirmed + DRAIN_GRACE + SOCKET_SLACK + self.observation_slack;
+            // A later process cannot know what the disk had not accepted before the kill.
+            let persisted_by =
+                command.confirmed.max(offline_at.file_writes_fail_until) + OFFLINE_PERSISTED_WITHIN;
+            let persisted = offline_at.killed.is_none_or(|killed| killed > persisted_by);
+            let same_slot = |attempt: &&Attempt| {
                 let index = self.records.member_of(&attempt.id);
-                let own = index == Some(ban.member);
+                let own = index == Some(command.member);
                 let next = index.and_then(|index| self.records.members.get(index));
-                own || kept && next.is_some_and(|next| next.name.split('.').next() == Some(place))
+                own || persisted && next.is_some_and(|next| next.name.split('.').next() == Some(slot))
             };
-            let broken = self.records.attempts.iter();
-            let broken = broken.filter(|attempt| attempt.endpoint == ban.endpoint && attempt.began > limit);
-            if let Some(attempt) = { broken }.find(same_place) {
-                let endpoint = &self.records.endpoints[ban.endpoint];
-                let what = format!("{} went to {endpoint}, out by hand at {name}", attempt.id);
-                breaches.push(Breach { invariant: Invariant::StaysOut, at: attempt.began, what });
+            let violating = self.records.attempts.iter();
+            let violating =
+                violating.filter(|attempt| attempt.endpoint == command.endpoint && attempt.started > limit);
+            if let Some(attempt) = { violating }.find(same_slot) {
+                let endpoint = &self.records.endpoints[command.endpoint];
+                let description = format!("{} went to {endpoint}, taken offline at {name}", attempt.id);
+                violations.push(Violation {
+                    invariant: Invariant::StaysOut,
+                    at: attempt.started,
+                    description,
+                });
             }
         }
-        breaches
+        violations
     }
 }
 
-/// Requests that a cold endpoint bears in a window, at that age (the operators' terms).
+/// The number of requests that a cold endpoint can take in one window at the given age (the
+/// deployment's requirements).
 pub fn cold_budget(age: Duration) -> f64 {
     let warmth = COLD_FROM + (1.0 - COLD_FROM) * (age.as_secs_f64() / WARM_AFTER.as_secs_f64()).min(1.0);
     let allowed = COLD_MULTIPLE * super::endpoint::CAPACITY_PER_S * warmth * COLD_WINDOW.as_secs_f64();
--- a/crates/lab/src/soak/plan.rs
+++ b/crates/lab/src/soak/plan.rs
@@ -1,162 +1,165 @@
-//! What happens in a run, drawn from its seed (`plan/draw.rs`): no I/O. The same seed gives the same plan.
+//! The events of a run, drawn from its seed (`plan/draw.rs`) without I/O. The same seed gives the
+//! same plan.
 
 mod draw;
 
-use super::records::Moment;
+use super::records::Timestamp;
 use std::fmt;
 use std::time::Duration;
 
-/// What discovery does with polls.
+/// How discovery handles polls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiscoveryCondition {
-    /// It serves each at once.
+    /// Each poll is served at once.
     Up,
-    /// It serves each after so long.
+    /// Each poll is served after this delay.
     Slow(Duration),
-    /// Other callers keep its queue full: so many of a hundred polls are turned away at once, the others are served late.
-    Crowded(u32),
-    /// It is down: each poll is answered with status 503 after that time.
+    /// Other clients keep its queue full: this percentage of polls is rejected at once, and the
+    /// others are served late.
+    Overloaded(u32),
+    /// Discovery is down: each poll is answered with status 503 after this delay.
     Unavailable(Duration),
-    /// It is down: connections are reset.
+    /// Discovery is down: connections are reset.
     Resets,
-    /// It is down: polls are taken and never answered.
+    /// Discovery is down: polls are accepted and never answered.
     Silent,
-    /// It is down: nobody listens.
+    /// Discovery is down: nothing listens on its addresses.
     Refuses,
 }
 
 impl DiscoveryCondition {
-    /// Whether discovery could be reached.
+    /// Whether discovery is reachable.
     pub fn is_reachable(self) -> bool {
         matches!(
             self,
-            DiscoveryCondition::Up | DiscoveryCondition::Slow(_) | DiscoveryCondition::Crowded(_)
+            DiscoveryCondition::Up | DiscoveryCondition::Slow(_) | DiscoveryCondition::Overloaded(_)
         )
     }
 }
 
-/// What becomes of the watches that are open.
+/// What happens to the watches that are open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchFault {
     /// They stay open and are never answered.
-    FallSilent,
+    Silence,
     /// Their connections are reset.
-    AreReset,
-    /// Their connections end in mid-answer.
-    EndInMidAnswer,
+    Reset,
+    /// Their connections end in the middle of an answer.
+    TruncatedAnswer,
 }
 
-/// What an endpoint does with requests.
+/// How an endpoint handles requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
     /// It serves them.
     Serves,
     /// It serves them five times slower.
     Slow,
-    /// It takes them and answers none.
+    /// It accepts them and answers none.
     Hangs,
-    /// It fails each at once.
+    /// It answers each with an error at once.
     Errors,
-    /// It turns each away unseen.
+    /// It rejects each unprocessed.
     Full,
-    /// It resets the connection once the request is whole.
-    ResetsAfter,
-    /// It closes connections right after each answer, or resets them under the next request.
-    ClosesIdle,
-    /// Its answers have no length; half of them come whole.
-    NoLength,
-    /// It answers, and once more some milliseconds later.
+    /// It resets the connection after it has received and processed a request.
+    ResetsAfterRequest,
+    /// It closes the connection right after each answer; the close may reset a following request.
+    ClosesAfterAnswer,
+    /// Its answers have no content length; half of them are complete.
+    NoContentLength,
+    /// It answers, and sends a second answer a few milliseconds later.
     AnswersTwice,
-    /// It forgets connections once it has answered on them: they stay open, and what comes on them is never read.
-    ForgetsIdle,
+    /// It stops reading from a connection after the first answer. The connection stays open.
+    StopsReading,
 }
 
-/// One thing that happens.
+/// One event of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// Discovery changes.
+    /// Discovery changes how it handles polls.
     Discovery(DiscoveryCondition),
     /// The open watches break.
     Watches(WatchFault),
-    /// An endpoint begins to behave so.
+    /// An endpoint changes how it handles requests.
     Endpoint(usize, Behaviour),
-    /// An endpoint begins to drain.
+    /// An endpoint starts to drain.
     Drain(usize),
-    /// An endpoint is removed from the list; it still answers.
+    /// An endpoint is removed from the list but still answers.
     Remove(usize),
-    /// An endpoint's process dies; the list is not told.
+    /// An endpoint's process crashes; the list does not change.
     Crash(usize),
     /// An endpoint's process starts anew, cold.
     Restart(usize),
     /// A process gets a new configuration that names discovery's other address.
     Reload(usize),
-    /// A process is told to stop, killed at the earliest moment, and started anew.
+    /// A process receives SIGTERM, is killed at the earliest permitted time, and is started anew.
     Terminate(usize),
     /// A process is killed and started anew.
     Kill(usize),
-    /// A process is held up for 0.15 s.
-    HoldUp(usize),
-    /// Idle clients fill the descriptors of a process.
-    IdleCrowd(usize),
-    /// All clients that wait at a process leave.
-    ClientsLeave(usize),
-    /// Clients that stop in the middle of a request come to a process, and stay.
+    /// A process is paused for 0.15 s.
+    Pause(usize),
+    /// Idle connections use up the descriptors of a process.
+    IdleConnections(usize),
+    /// All clients that wait at a process disconnect.
+    ClientsDisconnect(usize),
+    /// Clients that stop in the middle of a request connect to a process and stay connected.
     BadClients(usize),
-    /// An endpoint is taken out by hand at a process.
-    Ban(usize, usize),
+    /// A process is told by a console command to take an endpoint offline.
+    TakeOffline(usize, usize),
 }
 
-/// One line of a plan.
+/// An event and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Step {
-    /// When.
-    pub at: Moment,
-    /// What.
+pub struct ScheduledEvent {
+    /// Time since all processes serve.
+    pub at: Timestamp,
+    /// The event.
     pub event: Event,
 }
 
-/// What the shim does to the system calls and clocks of a process.
+/// The faults that the shim injects into the system calls and clocks of a process.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Shim {
-    /// Its own seed.
+pub struct ShimFaults {
+    /// The seed of the shim's own draws.
     pub seed: u64,
-    /// The wall clock's step, in milliseconds, and when it comes after the process's start.
+    /// The step of the wall clock, in milliseconds, and its time since the process's start.
     pub clock_step: (i64, Duration),
-    /// Of a thousand calls to accept, so many fail.
-    pub accept_fails: u32,
-    /// Of a thousand reads and writes on sockets, so many are interrupted or cut short.
-    pub transfers_fail: u32,
-    /// Of a thousand calls to connect and socket, so many fail.
-    pub connects_fail: u32,
-    /// Of a thousand reads on connections that the process made, so many find them broken.
-    pub connections_break: u32,
-    /// When writes to files begin to fail after the process's start, and for how long.
-    pub files_fail: (Duration, Duration),
+    /// Failing calls to accept, per thousand.
+    pub accept_per_mille: u32,
+    /// Reads and writes on sockets that are interrupted or cut short, per thousand.
+    pub transfer_per_mille: u32,
+    /// Failing calls to connect and socket, per thousand.
+    pub connect_per_mille: u32,
+    /// Reads that find a connection opened by the process broken, per thousand.
+    pub break_per_mille: u32,
+    /// When writes to files begin to fail, since the process's start, and for how long.
+    pub file_writes_fail: (Duration, Duration),
 }
 
-/// A run.
+/// The plan of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Its seed.
+    /// The seed that it was drawn from.
     pub seed: u64,
-    /// Whether it is a short one.
+    /// Whether the run is a short one.
     pub short: bool,
-    /// How long it lasts.
+    /// Duration of the run, from the time when all processes serve until the clients stop.
     pub length: Duration,
-    /// Processes.
+    /// Number of processes.
     pub members: usize,
-    /// Endpoints.
+    /// Number of endpoints.
     pub endpoints: usize,
-    /// Further endpoints on the list that only lengthen it: nobody listens there, and they drain.
+    /// Number of further endpoints that only lengthen the list: nothing listens at their address,
+    /// and they are draining.
     pub padding: usize,
-    /// Requests a second at each process.
+    /// Requests per second at each process.
     pub rate: f64,
-    /// The longest deadlines of the three classes: safe, keyed, unsafe.
-    pub patience: [Duration; 3],
-    /// For each process, what the shim does to it, if anything.
-    pub shims: Vec<Option<Shim>>,
-    /// What happens, in order.
-    pub steps: Vec<Step>,
+    /// The longest client timeouts of the three classes: safe, keyed, unsafe.
+    pub client_timeouts: [Duration; 3],
+    /// For each process, the faults that the shim injects, if any.
+    pub shims: Vec<Option<ShimFaults>>,
+    /// The events, ordered by time.
+    pub events: Vec<ScheduledEvent>,
 }
 
 impl fmt::Display for Plan {
@@ -164,18 +167,18 @@
         writeln!(
             f,
             "seed {}: {} processes, {} endpoints (and {} that only lengthen the list), {:.1} requests a second each, \
-             deadlines {:?}, {:?}, {} processes with a shim",
+             client timeouts {:?}, {:?}, {} processes with a shim",
             self.seed,
             self.members,
             self.endpoints,
             self.padding,
             self.rate,
-            self.patience,
+            self.client_timeouts,
             self.length,
             self.shims.iter().flatten().count()
         )?;
-        self.steps
-            .iter()
-            .try_for_each(|step| writeln!(f, "  {:>7.3} {:?}", step.at.as_secs_f64(), step.event))
+        self.events.iter().try_for_each(|scheduled| {
+            writeln!(f, "  {:>7.3} {:?}", scheduled.at.as_secs_f64(), scheduled.event)
+        })
     }
 }
--- a/crates/lab/src/soak/play/stops.rs
+++ b/crates/lab/src/soak/play/stops.rs
@@ -1,8 +1,8 @@
-//! How processes of a soak are held up, told to stop, killed and started anew.
+//! How processes of a soak are paused, terminated, killed and restarted.
 
-use super::Play;
+use super::SoakRun;
 use crate::soak::clients::Clients;
-use crate::soak::member::{self, Running};
+use crate::soak::member::{self, RunningProcess};
 use async_io::Timer;
 use rustix::process::Signal;
 use serde_json::Value;
@@ -10,72 +10,78 @@
 use std::time::Duration;
 use std::{fs, io};
 
-/// SIGKILL follows the word to stop after the longest deadline, counted as this at most, and this (the protocol page).
-const DEADLINE_MOST: Duration = Duration::from_secs(3);
+/// SIGKILL follows SIGTERM after the longest deadline, of which at most `MAX_DEADLINE` counts, plus
+/// `KILL_SLACK` (the protocol specification).
+const MAX_DEADLINE: Duration = Duration::from_secs(3);
 const KILL_SLACK: Duration = Duration::from_millis(700);
-/// A process held up stands still for so long: 0.15 s less what the two signals take.
-const HELD_UP: Duration = Duration::from_millis(140);
+/// How long a process is paused: 0.15 s less the time that the two signals take.
+const PAUSE: Duration = Duration::from_millis(140);
 
-impl Play {
-    pub(super) async fn hold_up(&self, place: usize) -> io::Result<()> {
+impl SoakRun {
+    pub(super) async fn pause(&self, slot: usize) -> io::Result<()> {
         let signal = |signal| {
-            let running = self.places[place].running.borrow();
+            let running = self.slots[slot].running.borrow();
             running.as_ref().map_or(Ok(()), |running| running.process.signal(signal))
         };
         signal(Signal::STOP)?;
-        Timer::after(HELD_UP).await;
+        Timer::after(PAUSE).await;
         signal(Signal::CONT)
     }
 
-    /// Tells a process to stop and kills it at the earliest moment, whether or not it has ended.
-    pub(super) async fn terminate(self: Rc<Self>, place: usize, restart: bool) -> io::Result<()> {
-        let Some(running) = self.places[place].running.take() else { return Ok(()) };
-        let member = self.places[place].member.get();
-        let clients = self.places[place].clients.take();
-        self.gather(member, &running).await;
-        clients.iter().for_each(|clients| clients.word_to_stop());
-        self.members.borrow_mut()[member].terminated = Some(self.began.elapsed());
+    /// Sends SIGTERM to a process and, at the earliest permitted time, SIGKILL if it still runs.
+    pub(super) async fn terminate(self: Rc<Self>, slot: usize, restart: bool) -> io::Result<()> {
+        let Some(running) = self.slots[slot].running.take() else { return Ok(()) };
+        let member = self.slots[slot].member.get();
+        let clients = self.slots[slot].clients.take();
+        self.record_counts(member, &running).await;
+        clients.iter().for_each(|clients| clients.note_sigterm());
+        self.members.borrow_mut()[member].terminated = Some(self.run_start.elapsed());
         running.process.signal(Signal::TERM)?;
-        let longest = self.plan.patience.into_iter().max().unwrap_or_default().min(DEADLINE_MOST);
-        let starts = restart.then(|| self.clone().restart_at(place));
+        let longest = self.plan.client_timeouts.into_iter().max().unwrap_or_default().min(MAX_DEADLINE);
+        let restarting = restart.then(|| self.clone().restart_in(slot));
         Timer::after(longest + KILL_SLACK).await;
-        self.end(member, running, clients)?;
-        if let Some(starts) = starts {
-            starts.await?;
+        self.kill_and_collect_log(member, running, clients)?;
+        if let Some(restarting) = restarting {
+            restarting.await?;
         }
         Ok(())
     }
 
-    pub(super) async fn kill_and_restart(self: Rc<Self>, place: usize) -> io::Result<()> {
-        let Some(running) = self.places[place].running.take() else { return Ok(()) };
-        let (member, clients) = (self.places[place].member.get(), self.places[place].clients.take());
-        self.gather(member, &running).await;
-        self.end(member, running, clients)?;
-        self.restart_at(place).await
+    pub(super) async fn kill_and_restart(self: Rc<Self>, slot: usize) -> io::Result<()> {
+        let Some(running) = self.slots[slot].running.take() else { return Ok(()) };
+        let (member, clients) = (self.slots[slot].member.get(), self.slots[slot].clients.take());
+        self.record_counts(member, &running).await;
+        self.kill_and_collect_log(member, running, clients)?;
+        self.restart_in(slot).await
     }
 
-    async fn restart_at(self: Rc<Self>, place: usize) -> io::Result<()> {
-        if self.over.get() {
+    async fn restart_in(self: Rc<Self>, slot: usize) -> io::Result<()> {
+        if self.finished.get() {
             return Ok(());
         }
-        let incarnation = &self.places[place].incarnation;
+        let incarnation = &self.slots[slot].incarnation;
         incarnation.set(incarnation.get() + 1);
-        self.start_members(vec![place]).await
+        self.start_members(vec![slot]).await
     }
 
-    /// What a process has counted, while it can be asked.
-    async fn gather(&self, member: usize, running: &Running) {
-        if let Ok((violations, expiries)) = member::counts(running.metrics()).await {
+    /// Records what a process has counted, while it still answers.
+    async fn record_counts(&self, member: usize, running: &RunningProcess) {
+        if let Ok((guard_violations, list_expiries)) = member::guard_counts(running.metrics()).await {
             let record = &mut self.members.borrow_mut()[member];
-            record.violations = Some(violations);
-            record.expiries = expiries;
+            record.guard_violations = Some(guard_violations);
+            record.list_expiries = list_expiries;
         }
     }
 
-    /// Kills a process that has not ended, and takes its log.
-    fn end(&self, member: usize, mut running: Running, clients: Option<Rc<Clients>>) -> io::Result<()> {
-        clients.iter().for_each(|clients| clients.end());
-        let now = self.began.elapsed();
+    /// Kills a process if it still runs, and collects its log.
+    fn kill_and_collect_log(
+        &self,
+        member: usize,
+        mut running: RunningProcess,
+        clients: Option<Rc<Clients>>,
+    ) -> io::Result<()> {
+        clients.iter().for_each(|clients| clients.stop());
+        let now = self.run_start.elapsed();
         let ended = running.process.wait(Duration::ZERO).ok();
         if ended.is_none() {
             running.process.signal(Signal::KILL)?;
@@ -84,7 +90,7 @@
         let lines = running.process.lines();
         let record = &mut self.members.borrow_mut()[member];
         record.killed = Some(now);
-        record.ended_well = ended.map(|status| status.success());
+        record.exited_cleanly = ended.map(|status| status.success());
         record.panics = lines.iter().filter(|line| is_panic(line)).map(Value::to_string).collect();
         if let Some(logs) = &self.logs {
             fs::create_dir_all(logs)?;
@@ -94,18 +100,18 @@
         Ok(())
     }
 
-    pub(super) async fn stop_all(self: &Rc<Self>) -> io::Result<()> {
-        let stops: Vec<_> = (0..self.plan.members)
-            .map(|place| self.executor.spawn(self.clone().terminate(place, false)))
+    pub(super) async fn terminate_all(self: &Rc<Self>) -> io::Result<()> {
+        let terminations: Vec<_> = (0..self.plan.members)
+            .map(|slot| self.executor.spawn(self.clone().terminate(slot, false)))
             .collect();
-        for stop in stops {
-            stop.await?;
+        for termination in terminations {
+            termination.await?;
         }
         Ok(())
     }
 }
 
-/// A line that is no JSON object is what the runtime says of a panic.
+/// The runtime reports a panic as plain text, not as a JSON object.
 fn is_panic(line: &Value) -> bool {
     line.as_str().is_some_and(|text| text.contains("panicked"))
 }
--- a/crates/lab/src/soak/records.rs
+++ b/crates/lab/src/soak/records.rs
@@ -1,19 +1,19 @@
-//! What the two ends of a soak saw. Times count from its beginning.
+//! What the two ends of a soak observed. Times count from the start of the run.
 
 use crate::live::discovery::Answers;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
 
-/// A time since the beginning of the run.
-pub type Moment = Duration;
+/// Time since the start of the run.
+pub type Timestamp = Duration;
 
-/// What a class of requests allows.
+/// What the class of a request allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// It may be repeated.
     Safe,
-    /// It may be repeated under its key.
+    /// It may be repeated with its idempotency key.
     Keyed,
     /// It must not run twice.
     Unsafe,
@@ -22,44 +22,44 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// A whole answer with that status; whether a 200 had the body that an endpoint made for it.
+    /// A complete answer.
     Answered {
-        /// The status.
+        /// Its status code.
         status: u16,
-        /// Whether the body was that of an endpoint, for this request.
+        /// Whether the body is the one that an endpoint makes for this request.
         genuine: bool,
     },
-    /// The connection ended with no whole answer.
+    /// The connection ended without a complete answer.
     Broken,
-    /// No connection came up, or the request could not be written whole.
-    NotTaken,
+    /// The request could not be written completely.
+    NotSent,
     /// The client closed its connection.
-    Left,
-    /// Nothing came until long after its time.
+    Disconnected,
+    /// Nothing arrived until long after the client timeout.
     Unanswered,
 }
 
 /// One request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id, unlike all others.
+    /// Its unique id.
     pub id: String,
-    /// Whom it was sent to, by index.
+    /// Index of the process that it was sent to.
     pub member: usize,
     /// What its class allows.
     pub effect: Effect,
     /// When its last byte was written.
-    pub sent: Moment,
-    /// How long the client waits.
-    pub patience: Duration,
-    /// How it ended, and when.
+    pub sent: Timestamp,
+    /// How long the client waits in all.
+    pub client_timeout: Duration,
+    /// How it ended.
     pub end: RequestEnd,
     /// When it ended.
-    pub ended: Moment,
+    pub ended: Timestamp,
     /// Whether its connection had carried an answer before.
-    pub on_kept_connection: bool,
-    /// What was wrong with its answer, where it ended broken.
-    pub fault: Option<String>,
+    pub on_reused_connection: bool,
+    /// What was wrong with its answer, if it ended as [`RequestEnd::Broken`].
+    pub answer_error: Option<String>,
 }
 
 /// One attempt, as an endpoint saw it.
@@ -67,128 +67,129 @@
 pub struct Attempt {
     /// The request's id.
     pub id: String,
-    /// The endpoint, by index.
+    /// The endpoint's index.
     pub endpoint: usize,
     /// When its first byte was read.
-    pub began: Moment,
-    /// When its last byte was read; `None` where it never came.
-    pub whole: Option<Moment>,
-    /// When it was over: answered, or its connection closed.
-    pub over: Option<Moment>,
-    /// The time that it was told.
+    pub started: Timestamp,
+    /// When its last byte was read; `None` if it never arrived.
+    pub received: Option<Timestamp>,
+    /// When it ended: it was answered, or its connection closed.
+    pub ended: Option<Timestamp>,
+    /// The time left that its header states.
     pub time_left: Option<Duration>,
-    /// Whether it was turned away unseen.
-    pub turned_away: bool,
+    /// Whether the endpoint rejected it unprocessed.
+    pub rejected: bool,
 }
 
 /// One process of the program.
 #[derive(Clone, Debug, Default)]
 pub struct Member {
-    /// Its name: the place in the fleet, and which process at that place.
+    /// Its name: the slot in the fleet, and the number of the process in that slot.
     pub name: String,
-    /// When it served.
-    pub started: Moment,
-    /// When it was told to stop.
-    pub terminated: Option<Moment>,
-    /// When it was killed, planned or not.
-    pub killed: Option<Moment>,
-    /// Whether it ended by itself, and well, before it was killed.
-    pub ended_well: Option<bool>,
-    /// Violations that its own guard counted, by rule; `None` where it could not be asked.
-    pub violations: Option<BTreeMap<String, u64>>,
-    /// Lines of its log that tell of a panic.
+    /// When it started.
+    pub started: Timestamp,
+    /// When it received SIGTERM.
+    pub terminated: Option<Timestamp>,
+    /// When it was killed, or found to have exited at the time for that.
+    pub killed: Option<Timestamp>,
+    /// Whether it exited by itself, before it was killed, with a success status; `None` if it did
+    /// not exit.
+    pub exited_cleanly: Option<bool>,
+    /// Violations that its own guard counted, by rule; `None` if it could not be queried.
+    pub guard_violations: Option<BTreeMap<String, u64>>,
+    /// Lines of its log that report a panic.
     pub panics: Vec<String>,
-    /// Times that its list expired.
-    pub expiries: u64,
-    /// Until when writes to its files failed.
-    pub files_failed_until: Moment,
+    /// Number of times that its list expired.
+    pub list_expiries: u64,
+    /// Until when writes to its files fail.
+    pub file_writes_fail_until: Timestamp,
 }
 
-/// What the list says of an endpoint.
+/// The state of an endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// Takes work.
+pub enum Lifecycle {
+    /// It takes requests.
     Active,
-    /// Wants nothing new.
-    Leaving,
-    /// Removed.
-    Left,
+    /// It takes no new requests.
+    Draining,
+    /// It is removed from the list.
+    Removed,
 }
 
 /// One change of the list.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// The version that it made.
+    /// The version that it created.
     pub version: u64,
     /// When discovery had it.
-    pub at: Moment,
-    /// The endpoint, by index.
+    pub at: Timestamp,
+    /// The endpoint's index.
     pub endpoint: usize,
-    /// What it is from then on.
-    pub to: Standing,
-    /// Whether its process had just started, cold.
+    /// The endpoint's state from then on.
+    pub lifecycle: Lifecycle,
+    /// Whether the endpoint's process had just started and is cold.
     pub cold: bool,
 }
 
-/// A time in which discovery could be reached.
+/// A period in which discovery was reachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reachable {
-    /// From then on.
-    pub from: Moment,
-    /// Until then; `None` for the end of the run.
-    pub until: Option<Moment>,
+pub struct ReachablePeriod {
+    /// Its start.
+    pub from: Timestamp,
+    /// Its end; `None` for the end of the run.
+    pub until: Option<Timestamp>,
 }
 
-/// A watch that fell silent.
+/// A watch that became silent.
 #[derive(Clone, Copy, Debug)]
 pub struct SilentWatch {
-    /// Whose it was, by index.
+    /// Index of the process that opened it.
     pub member: usize,
-    /// When it was asked for.
-    pub begun: Moment,
-    /// How long it was to wait.
+    /// When it was opened.
+    pub opened: Timestamp,
+    /// Its hold time.
     pub hold: Duration,
-    /// When it fell silent.
-    pub silent: Moment,
+    /// When it became silent.
+    pub silent_since: Timestamp,
 }
 
-/// A client that sent half a request, or what is none, and stayed.
+/// A client that sent an incomplete or invalid request and stayed connected.
 #[derive(Clone, Copy, Debug)]
 pub struct BadClient {
-    /// To whom, by index.
+    /// Index of the process that it sent that to.
     pub member: usize,
     /// When it had sent that.
-    pub sent: Moment,
-    /// When it was answered or closed.
-    pub ended: Option<Moment>,
+    pub sent: Timestamp,
+    /// When it was answered or its connection closed.
+    pub ended: Option<Timestamp>,
 }
 
-/// An endpoint taken out by hand at a process.
+/// An endpoint taken offline by a console command at a process.
 #[derive(Clone, Copy, Debug)]
-pub struct Ban {
-    /// At which process, by index.
+pub struct OfflineCommand {
+    /// Index of the process.
     pub member: usize,
-    /// The endpoint, by index.
+    /// The endpoint's index.
     pub endpoint: usize,
-    /// When the process said yes.
-    pub confirmed: Moment,
+    /// When the process confirmed the command.
+    pub confirmed: Timestamp,
 }
 
-/// Polls of discovery by what became of them.
+/// Counts of discovery polls by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Polls {
-    /// Answered, with their bytes.
+    /// Answered polls, with the bytes of the answers.
     pub answered: Answers,
-    /// Turned away at once.
-    pub turned_away: u64,
-    /// Failed in an outage.
+    /// Polls that were rejected at once.
+    pub rejected: u64,
+    /// Polls that failed in an outage.
     pub failed: u64,
 }
 
-/// All of it.
+/// Everything that was recorded in a run.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
-    /// Requests, in the order of their ends.
+    /// Requests; those of one client group are in the order of their ends.
     pub requests: Vec<Request>,
     /// Attempts.
     pub attempts: Vec<Attempt>,
@@ -198,26 +199,27 @@
     pub endpoints: Vec<String>,
     /// Changes of the list.
     pub changes: Vec<Change>,
-    /// For each process, the versions that discovery wrote to it, and when.
-    pub written: Vec<Vec<(u64, Moment)>>,
-    /// When discovery could be reached.
-    pub reachable: Vec<Reachable>,
-    /// Watches that fell silent.
+    /// For each process, the versions that discovery sent to it, and when.
+    pub sent_versions: Vec<Vec<(u64, Timestamp)>>,
+    /// The periods in which discovery was reachable.
+    pub reachable_periods: Vec<ReachablePeriod>,
+    /// Watches that became silent.
     pub silent_watches: Vec<SilentWatch>,
     /// Bad clients.
     pub bad_clients: Vec<BadClient>,
-    /// Endpoints taken out by hand.
-    pub bans: Vec<Ban>,
-    /// Polls.
+    /// Endpoints taken offline by a console command.
+    pub offline_commands: Vec<OfflineCommand>,
+    /// Counts of polls.
     pub polls: Polls,
-    /// By how much the stand-ins' own timers were late at most.
-    pub lateness: Duration,
-    /// When the idle crowd was there: new connections may be shut unread then.
-    pub crowded_clients: Vec<(usize, Moment, Moment)>,
+    /// Maximum lateness of the stand-ins' own timers.
+    pub timer_lateness: Duration,
+    /// The process (by index), start and end of each period with idle connections, in which new
+    /// connections may be closed unread.
+    pub idle_connection_periods: Vec<(usize, Timestamp, Timestamp)>,
 }
 
 impl Records {
-    /// The process that a request's id names.
+    /// Index of the process that a request's id names.
     pub fn member_of(&self, id: &str) -> Option<usize> {
         id.split_once('-').and_then(|(member, _)| member.strip_prefix('m')?.parse().ok())
     }
@@ -226,12 +228,12 @@
 impl fmt::Display for Request {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (sent, ended) = (self.sent.as_secs_f64(), self.ended.as_secs_f64());
-        let kept = if self.on_kept_connection { "kept" } else { "new" };
+        let connection = if self.on_reused_connection { "reused" } else { "new" };
         write!(
             f,
-            "{sent:.3} {} {:?} on a {kept} connection, waits {:?}: {:?} at {ended:.3}",
-            self.id, self.effect, self.patience, self.end
+            "{sent:.3} {} {:?} on a {connection} connection, client timeout {:?}: {:?} at {ended:.3}",
+            self.id, self.effect, self.client_timeout, self.end
         )?;
-        self.fault.as_ref().map_or(Ok(()), |fault| write!(f, " ({fault})"))
+        self.answer_error.as_ref().map_or(Ok(()), |error| write!(f, " ({error})"))
     }
 }
