--- a/crates/lab/src/soak/plan/draw.rs
+++ b/crates/lab/src/soak/plan/draw.rs
@@ -100,8 +100,9 @@
         }
     }
 
-    /// Draws the conditions of discovery and list changes right before, within and after them.
-    /// Returns the end of the quiet period, before which there are no other faults.
+    /// Draws the conditions of discovery and list changes within and right after them, and faults of
+    /// its watches. Returns the end of the quiet period, after which discovery's conditions change and
+    /// the faults of endpoints, processes and clients begin.
     fn draw_discovery(&mut self) -> Timestamp {
         let quiet_until = if self.random.u32(0..4) == 0 && !self.plan.short {
             seconds(&mut self.random, 8.0, 11.0)
