--- a/crates/lab/src/live/clients.rs
+++ b/crates/lab/src/live/clients.rs
@@ -175,9 +175,7 @@
         c.stream.write_all(request.as_bytes()).await?;
         let answer = http::read_one_answer(&mut c.buffer, &mut c.stream, http::BODY_LIMIT).await;
         let answer = answer.map_err(|fault| io::Error::other(fault.to_string()))?;
-        let Some((_, status, _, keep)) = answer else {
-            return Err(io::Error::other("unexpected interim (1xx) answer"));
-        };
+        let Some((_, status, _, keep)) = answer else { return Err(io::Error::other("a 1xx response")) };
         if keep && c.buffer.is_empty() {
             self.idle_connections.borrow_mut().push(c);
         }
--- a/crates/lab/src/live/program.rs
+++ b/crates/lab/src/live/program.rs
@@ -70,9 +70,7 @@
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()?;
-        let Some(stderr) = child.stderr.take() else {
-            return Err(io::Error::other("the program's standard error is not captured"));
-        };
+        let Some(stderr) = child.stderr.take() else { return Err(io::Error::other("stderr not captured")) };
         let mut lines = BufReader::new(stderr).lines();
         let (mut metrics, mut early_log) = (None, Vec::new());
         let address = loop {
