--- a/crates/lab/src/fleet/disabled.rs
+++ b/crates/lab/src/fleet/disabled.rs
@@ -1,37 +1,41 @@
-//! Parts of the plane disabled from the outside: what it sends or is given is kept from it, so that a claim that
-//! rests on that part has to fail.
+//! Features of the membership protocol disabled from outside the state machine: the packets it
+//! sends or receives are dropped or changed, so that a claim that depends on the feature has to
+//! fail.
 
 use cottonpoint_peers::{Body, MemberId, MemberState, Packet};
 
-/// The part of the plane that is disabled.
+/// A feature of the membership protocol that can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disabled {
-    /// Nobody receives news of itself, so that nobody contradicts it.
+    /// No member receives updates about itself, so none refutes a suspicion.
     Refutation,
-    /// No ping through others is sent.
+    /// No indirect probe is sent.
     Indirect,
-    /// No part of a full exchange is sent.
+    /// No response of a full state synchronization is sent.
     Exchange,
-    /// Nobody is pinged by one that holds it as last known.
+    /// Members held as dead (last known) are not probed.
     Knocks,
-    /// A process that stood still gets its missed wakes one by one, each with the time at which it was due:
-    /// it cannot see that its own silence was its fault.
+    /// A process that was paused gets its missed wakes one by one, each with the time at which it
+    /// was due. It cannot detect that it was paused, and takes its own silence for that of others.
     Lateness,
 }
 
 impl Disabled {
-    /// Whether a packet is kept from being sent, by the standing in which its sender holds the receiver.
-    pub fn drops(self, packet: &Packet, held: Option<MemberState>) -> bool {
+    /// Whether a packet is dropped instead of sent, given the state in which its sender holds the
+    /// receiver.
+    pub fn drops(self, packet: &Packet, known_state: Option<MemberState>) -> bool {
         match self {
             Disabled::Indirect => matches!(packet.body, Body::PingRequest { .. }),
             Disabled::Exchange => matches!(packet.body, Body::SyncResponse),
-            Disabled::Knocks => matches!(packet.body, Body::Ping { .. }) && held == Some(MemberState::Dead),
+            Disabled::Knocks => {
+                matches!(packet.body, Body::Ping { .. }) && known_state == Some(MemberState::Dead)
+            }
             Disabled::Refutation | Disabled::Lateness => false,
         }
     }
 
-    /// What is left of a packet when its receiver gets it.
-    pub fn redacted(self, packet: &Packet, receiver: MemberId) -> Option<Packet> {
+    /// The packet as its receiver gets it, where that differs from the packet sent.
+    pub fn redact(self, packet: &Packet, receiver: MemberId) -> Option<Packet> {
         let mentions_receiver = |packet: &Packet| packet.updates.iter().any(|update| update.id == receiver);
         (self == Disabled::Refutation && mentions_receiver(packet)).then(|| {
             let mut packet = packet.clone();
--- a/crates/lab/src/fleet/host.rs
+++ b/crates/lab/src/fleet/host.rs
@@ -1,73 +1,74 @@
-//! One member's place in a fleet: its address and clock, and the process that runs there, if one does.
+//! The host of one member: its address and clock, and the process that runs there, if any.
 
-use super::log::Held;
+use super::log::MemberView;
 use cottonpoint_decide::Time;
 use cottonpoint_peers::{MemberId, Packet, PartitionStatus, Peers};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// A member's place in a fleet.
+/// The host of a member.
 #[derive(Clone)]
 pub(super) struct Host {
     pub(super) id: MemberId,
-    pub(super) plane: Option<Peers>,
-    /// Its clock shows the run's time and that much more.
-    pub(super) clock: u64,
-    pub(super) stopped: bool,
-    /// What waits while it stands still.
-    pub(super) waiting: VecDeque<(usize, Arc<Packet>)>,
-    /// The number of the wake that counts.
+    pub(super) peers: Option<Peers>,
+    /// Offset of its clock from the time of the simulation, in nanoseconds.
+    pub(super) clock_offset: u64,
+    pub(super) paused: bool,
+    /// Packets that arrived while the process was paused, with their senders.
+    pub(super) queued_packets: VecDeque<(usize, Arc<Packet>)>,
+    /// The number of the wake that is valid: the last one requested.
     pub(super) wake_number: u64,
-    /// The time of its clock at which it wants to be woken.
+    /// The time on its clock at which it asked to be woken.
     pub(super) wake_at: Option<Time>,
-    /// A wake fell due while it stood still.
+    /// Whether a wake became due while the process was paused.
     pub(super) missed_wake: bool,
-    /// The version of the view that was recorded last, what it held of each member, and its part.
-    pub(super) seen_version: u64,
-    pub(super) seen: Vec<Held>,
-    pub(super) part: Option<PartitionStatus>,
-    /// The process that runs, as it drew it.
+    /// The version of the view that was recorded last, the state of each member in it, and the
+    /// partition status.
+    pub(super) recorded_version: u64,
+    pub(super) recorded_views: Vec<MemberView>,
+    pub(super) partition: Option<PartitionStatus>,
+    /// The random boot id of the process that runs.
     pub(super) boot: u64,
-    /// Packets and bytes that it has sent, and its longest packet.
-    pub(super) packets: u64,
-    pub(super) bytes: u64,
+    /// Packets and bytes sent, and the size of the longest packet.
+    pub(super) packets_sent: u64,
+    pub(super) bytes_sent: u64,
     pub(super) longest_packet: usize,
 }
 
 impl Host {
-    /// A place where no process has started, in a fleet of so many members.
-    pub(super) fn new(id: MemberId, clock: u64, members: usize) -> Host {
+    /// Creates a host where no process runs, in a fleet of that many members.
+    pub(super) fn new(id: MemberId, clock_offset: u64, members: usize) -> Host {
         Host {
             id,
-            plane: None,
-            clock,
-            stopped: false,
-            waiting: VecDeque::new(),
+            peers: None,
+            clock_offset,
+            paused: false,
+            queued_packets: VecDeque::new(),
             wake_number: 0,
             wake_at: None,
             missed_wake: false,
-            seen_version: 0,
-            seen: vec![Held::default(); members],
-            part: None,
+            recorded_version: 0,
+            recorded_views: vec![MemberView::default(); members],
+            partition: None,
             boot: 0,
-            packets: 0,
-            bytes: 0,
+            packets_sent: 0,
+            bytes_sent: 0,
             longest_packet: 0,
         }
     }
 
-    /// Its process is gone, and what that held.
+    /// Discards the process and its state.
     pub(super) fn end_process(&mut self, members: usize) {
-        (self.plane, self.stopped, self.missed_wake) = (None, false, false);
+        (self.peers, self.paused, self.missed_wake) = (None, false, false);
         (self.wake_number, self.wake_at) = (0, None);
-        (self.seen_version, self.part) = (0, None);
-        self.seen = vec![Held::default(); members];
+        (self.recorded_version, self.partition) = (0, None);
+        self.recorded_views = vec![MemberView::default(); members];
     }
 
-    /// Counts a packet that it has sent, by its size with the seal.
+    /// Counts a packet sent, by its size with the seal.
     pub(super) fn count_sent(&mut self, size: usize) {
-        self.packets += 1;
-        self.bytes += size as u64;
+        self.packets_sent += 1;
+        self.bytes_sent += size as u64;
         self.longest_packet = self.longest_packet.max(size);
     }
 }
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,8 +1,10 @@
-//! Whole fleets of the membership plane in virtual time: the very machine of `cottonpoint_peers` for each member,
-//! links with faults between them, processes that crash, stand still, leave and start again.
+//! Simulation of whole fleets that run the membership protocol, in virtual time. Each member is the
+//! state machine of `cottonpoint_peers` itself; links between members have faults, and processes
+//! crash, are paused, leave and restart.
 //!
-//! One thread plays one fleet; equal setups and scripts give equal logs. What is not modelled: the time that a
-//! process takes to handle a packet (it is microseconds beside periods of seconds), and queues of the network.
+//! One thread runs one fleet; equal setups and operations give equal logs. Not modelled are the
+//! time that a process takes to handle a packet, which is microseconds against periods of seconds,
+//! and queues in the network.
 
 pub mod disabled;
 mod host;
@@ -11,9 +13,9 @@
 pub mod plays;
 mod queue;
 mod setup;
-pub mod world;
+pub mod simulation;
 
 pub use disabled::Disabled;
-pub use log::{Change, Log};
-pub use setup::{Do, PacketCounts, SEAL_BYTES, SOCKET_HOLDS, Setup};
-pub use world::Fleet;
+pub use log::{Log, ViewChange};
+pub use setup::{Operation, PacketCounts, SEAL_BYTES, SOCKET_QUEUE_PACKETS, Setup};
+pub use simulation::Fleet;
--- a/crates/lab/src/fleet/queue.rs
+++ b/crates/lab/src/fleet/queue.rs
@@ -1,26 +1,26 @@
-//! What is scheduled to happen to a fleet, in the order in which it comes.
+//! The events scheduled in a simulation, in order of time.
 
-use super::setup::Do;
+use super::setup::Operation;
 use cottonpoint_peers::Packet;
 use std::cmp::Ordering;
 use std::sync::Arc;
 
-/// What happens.
+/// What happens at an event.
 #[derive(Clone)]
 pub(super) enum EventKind {
     /// A packet arrives.
     Packet { from: usize, to: usize, packet: Arc<Packet> },
-    /// The wake of that number falls due at a member.
-    Wake { of: usize, number: u64 },
-    /// Something is done to the fleet.
-    Do(Do),
+    /// The wake of that number becomes due at a member.
+    Wake { member: usize, number: u64 },
+    /// An operation is applied to the fleet.
+    Operation(Operation),
 }
 
-/// What happens, and when.
+/// An event and its time.
 #[derive(Clone)]
 pub(super) struct ScheduledEvent {
     pub(super) at: u64,
-    /// Its number: of equal times the one scheduled first comes first.
+    /// Sequence number: of events at the same time the one scheduled first comes first.
     pub(super) order: u64,
     pub(super) kind: EventKind,
 }
--- a/crates/lab/src/fleet/setup.rs
+++ b/crates/lab/src/fleet/setup.rs
@@ -1,4 +1,4 @@
-//! What a fleet is made of, what is done to it, and what becomes of its packets.
+//! The setup of a simulated fleet, operations on it, and packet counts.
 
 use super::disabled::Disabled;
 use crate::rig::links::{Change, Faults};
@@ -6,33 +6,35 @@
 
 /// Bytes that the seal adds to a packet: version 1, cluster 8, MAC 16 (`docs/design/peers.md`).
 pub const SEAL_BYTES: usize = 25;
-/// Packets that wait at a process which stands still: Linux gives a socket 212,992 bytes (`net.core.rmem_default`) and
-/// counts 768 for a small datagram with its bookkeeping. Further ones are lost.
-pub const SOCKET_HOLDS: usize = 212_992 / 768;
+/// Packets that are queued at a paused process: Linux gives a socket 212,992 bytes
+/// (`net.core.rmem_default`) and counts 768 for a small datagram with its bookkeeping. Further
+/// packets are lost.
+pub const SOCKET_QUEUE_PACKETS: usize = 212_992 / 768;
 
-/// What a fleet is made of.
+/// The setup of a simulated fleet.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Members, by index from 0.
+    /// Number of members; they are named by their index from 0.
     pub members: usize,
-    /// Of all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Between two probes.
+    /// Protocol period: the time between two probes of a member.
     pub period: Duration,
-    /// What clocks count in: a member is given the time, and woken, in whole ones of these.
+    /// Resolution of the clocks: a member is given the time, and woken, in whole multiples of it.
     pub tick: Duration,
-    /// Of all links at the start.
+    /// Faults of all links at the start.
     pub faults: Faults,
-    /// The share of packets that are sent once more by somebody who listens ...
-    pub again: f64,
-    /// ... and the mean time after which; it is drawn from an exponential law.
-    pub again_after: Duration,
-    /// The part of the plane that is disabled.
+    /// Share of packets that a third party on the network replays.
+    pub replay_share: f64,
+    /// Mean delay of a replay, which is drawn from an exponential distribution.
+    pub replay_delay: Duration,
+    /// The protocol feature that is disabled, if any.
     pub disabled: Option<Disabled>,
 }
 
 impl Setup {
-    /// A fleet on a quiet local network: periods of a second, delays of 0.2 to 2 ms, clocks in milliseconds.
+    /// A fleet on a quiet local network: periods of a second, delays of 0.2 to 2 ms, clocks with a
+    /// resolution of a millisecond.
     pub fn new(members: usize, seed: u64) -> Setup {
         let delay = (Duration::from_micros(200), Duration::from_millis(2));
         Setup {
@@ -41,54 +43,57 @@
             period: Duration::from_secs(1),
             tick: Duration::from_millis(1),
             faults: Faults { delay, ..Faults::default() },
-            again: 0.0,
-            again_after: Duration::from_secs(30),
+            replay_share: 0.0,
+            replay_delay: Duration::from_secs(30),
             disabled: None,
         }
     }
 }
 
-/// Something done to the fleet.
+/// An operation on a simulated fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Do {
-    /// A new process starts at that member's address and knows nothing; one that runs there ends without a word.
+pub enum Operation {
+    /// A new process without any state starts at that member's address. A process that runs there
+    /// ends without leaving the fleet.
     Start(usize),
-    /// Its process ends without a word.
+    /// The member's process ends without leaving the fleet.
     Crash(usize),
-    /// Its process stands still (SIGSTOP): what comes waits at its socket as long as there is room.
-    Stop(usize),
-    /// It goes on (SIGCONT) and finds all at once what waited.
+    /// The member's process is paused (SIGSTOP): packets for it are queued at its socket as long as
+    /// there is room.
+    Pause(usize),
+    /// The member's process continues (SIGCONT) and gets all queued packets at once.
     Resume(usize),
-    /// It leaves the fleet and says so.
+    /// The member leaves the fleet and announces it.
     Leave(usize),
-    /// It joins the fleet again.
+    /// The member joins the fleet again.
     Join(usize),
-    /// Links change.
+    /// The faults of links change.
     Links(Change),
-    /// From now on that share of packets is sent once more, after such a time on average.
-    Listen(f64, Duration),
-    /// A part of the plane is disabled.
+    /// From now on that share of packets is replayed, after that mean delay.
+    Replay(f64, Duration),
+    /// A feature of the membership protocol is disabled.
     Disable(Disabled),
-    /// Whether views are recorded after each event. What changed before comes into the log as one change.
-    Watch(bool),
+    /// Whether views are recorded after each event. Changes made before recording starts appear in
+    /// the log as one change.
+    RecordViews(bool),
 }
 
-/// What became of the packets from one member to another, in copies. At each moment sent + doubled + again =
-/// dropped + delivered + overflowed + unheard + in flight.
+/// Counts of the packets from one member to another, copies included. At each moment sent +
+/// duplicated + replayed = dropped + delivered + overflowed + undeliverable + in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PacketCounts {
-    /// Sent by the member.
+    /// Packets sent by the member.
     pub sent: u64,
-    /// Copies that the link added.
-    pub doubled: u64,
-    /// Copies sent once more by somebody who listens.
-    pub again: u64,
-    /// Lost on the link.
+    /// Copies added by the link.
+    pub duplicated: u64,
+    /// Copies replayed by a third party on the network.
+    pub replayed: u64,
+    /// Packets lost on the link.
     pub dropped: u64,
-    /// Given to the receiver.
+    /// Packets given to the receiver.
     pub delivered: u64,
-    /// Lost because too many waited at a process that stood still.
+    /// Packets lost because the queue of a paused process was full.
     pub overflowed: u64,
-    /// Come to an address where no process was, or lost with one.
-    pub unheard: u64,
+    /// Packets that arrived where no process ran, or that were queued at a process when it ended.
+    pub undeliverable: u64,
 }
--- a/crates/lab/src/fleet/simulation.rs
+++ b/crates/lab/src/fleet/simulation.rs
@@ -1,10 +1,10 @@
-//! The world of a fleet: processes at their addresses, links, and a queue of what is to come.
+//! The simulation of a fleet: processes at their addresses, links, and a queue of events.
 
 use super::disabled::Disabled;
 use super::host::Host;
-use super::log::{Change, Held, Log};
+use super::log::{Log, MemberView, ViewChange};
 use super::queue::{EventKind, ScheduledEvent};
-use super::setup::{Do, PacketCounts, SEAL_BYTES, SOCKET_HOLDS, Setup};
+use super::setup::{Operation, PacketCounts, SEAL_BYTES, SOCKET_QUEUE_PACKETS, Setup};
 use crate::draw::{Draw, Purpose};
 use crate::rig::links::Links;
 use cottonpoint_decide::Time;
@@ -18,16 +18,17 @@
 
 /// Members that all others are configured with as seeds.
 const SEEDS: usize = 3;
-/// Where the first member is reached; the others follow.
+/// The address of the first member; those of the others follow it.
 const FIRST_ADDRESS: u32 = 0x0a00_0001;
 const PORT: u16 = 7946;
 
-/// A fleet that is played; a copy goes on by itself from where it was taken. Times are in nanoseconds from its start.
+/// A simulated fleet. A clone continues independently from the state in which it was cloned. Times
+/// are in nanoseconds from the start of the simulation.
 #[derive(Clone)]
 pub struct Fleet {
     pub(super) setup: Setup,
     pub(super) now: u64,
-    /// The number of the event scheduled last.
+    /// The sequence number of the event scheduled last.
     order: u64,
     pub(super) queue: BinaryHeap<Reverse<ScheduledEvent>>,
     pub(super) hosts: Vec<Host>,
@@ -35,7 +36,8 @@
     pub(super) links: Links,
     pub(super) packet_counts: Vec<PacketCounts>,
     draw: Draw,
-    /// Draws for packets that are sent again, apart from the others so that the rest goes as it does without.
+    /// Random draws for replayed packets, separate from the others so that replays do not change
+    /// the rest of a run.
     replay_draw: Draw,
     /// Whether views are recorded after each event.
     records_views: bool,
@@ -44,7 +46,7 @@
 }
 
 impl Fleet {
-    /// A fleet of which no process has started.
+    /// Creates a fleet in which no process has started.
     pub fn new(setup: Setup) -> Fleet {
         let n = setup.members;
         let mut draw = Draw::new(setup.seed, Purpose::Fleet, 0);
@@ -69,39 +71,42 @@
         }
     }
 
-    /// Has something done at a time; a time gone by is now. Of equal times the one scheduled first comes first.
-    pub fn at(&mut self, at: u64, action: Do) {
-        self.push(at.max(self.now), EventKind::Do(action));
+    /// Schedules an operation; a time in the past means now. Of operations at the same time the one
+    /// scheduled first is applied first.
+    pub fn schedule(&mut self, at: u64, operation: Operation) {
+        self.push(at.max(self.now), EventKind::Operation(operation));
     }
 
-    /// Has all processes start, each at a moment drawn from within that time after a moment.
+    /// Schedules the start of all processes, each at a random time between `from` and `from +
+    /// within`.
     pub fn start_all(&mut self, from: u64, within: u64) {
         for i in 0..self.hosts.len() {
             let at = from + (self.draw.share() * within as f64) as u64;
-            self.at(at, Do::Start(i));
+            self.schedule(at, Operation::Start(i));
         }
     }
 
-    /// Plays up to and with that time.
-    pub fn run(&mut self, to: u64) {
+    /// Runs the simulation up to and including time `to`.
+    pub fn run_until(&mut self, to: u64) {
         while self.queue.peek().is_some_and(|Reverse(next)| next.at <= to) {
             let Some(Reverse(next)) = self.queue.pop() else { break };
             self.now = next.at;
             match next.kind {
                 EventKind::Packet { from, to, packet } => self.arrive(from, to, packet),
-                EventKind::Wake { of, number } => self.wake(of, number),
-                EventKind::Do(action) => self.apply(action),
+                EventKind::Wake { member, number } => self.wake(member, number),
+                EventKind::Operation(operation) => self.apply(operation),
             }
         }
         self.now = self.now.max(to);
     }
 
-    /// A wake falls due: only the one scheduled last counts, and a process that stands still misses it.
+    /// Handles a wake that became due: only the last one requested is valid, and a paused process
+    /// misses it.
     fn wake(&mut self, i: usize, number: u64) {
         if self.hosts[i].wake_number != number {
             return;
         }
-        if self.hosts[i].stopped {
+        if self.hosts[i].paused {
             self.hosts[i].missed_wake = true;
         } else {
             self.handle_event(i, Event::Wake);
@@ -114,27 +119,29 @@
         self.order
     }
 
-    fn apply(&mut self, action: Do) {
-        match action {
-            Do::Start(i) => {
+    fn apply(&mut self, operation: Operation) {
+        match operation {
+            Operation::Start(i) => {
                 self.end_process(i);
                 let settings = self.settings(i);
                 let now = self.clock(i);
                 self.hosts[i].boot = settings.boot;
-                self.hosts[i].plane = Some(Peers::new(settings, now));
+                self.hosts[i].peers = Some(Peers::new(settings, now));
                 self.handle_event(i, Event::Wake);
             }
-            Do::Crash(i) => self.end_process(i),
-            Do::Stop(i) => self.hosts[i].stopped = self.hosts[i].plane.is_some(),
-            Do::Resume(i) => self.resume(i),
-            Do::Leave(i) => self.handle_event(i, Event::Leave),
-            Do::Join(i) => self.handle_event(i, Event::Join),
-            Do::Links(change) => self.links.change(&change),
-            Do::Listen(share, after) => (self.setup.again, self.setup.again_after) = (share, after),
-            Do::Disable(part) => self.setup.disabled = Some(part),
-            Do::Watch(records) => {
+            Operation::Crash(i) => self.end_process(i),
+            Operation::Pause(i) => self.hosts[i].paused = self.hosts[i].peers.is_some(),
+            Operation::Resume(i) => self.resume(i),
+            Operation::Leave(i) => self.handle_event(i, Event::Leave),
+            Operation::Join(i) => self.handle_event(i, Event::Join),
+            Operation::Links(change) => self.links.change(&change),
+            Operation::Replay(share, after) => {
+                (self.setup.replay_share, self.setup.replay_delay) = (share, after)
+            }
+            Operation::Disable(feature) => self.setup.disabled = Some(feature),
+            Operation::RecordViews(records) => {
                 self.records_views = records;
-                (0..self.hosts.len()).for_each(|i| self.record_view(i));
+                (0..self.hosts.len()).for_each(|i| self.record_changes(i));
             }
         }
     }
@@ -152,30 +159,31 @@
         }
     }
 
-    /// Its process is gone, and what it held and what waited for it.
+    /// Ends the process of a member. Its state and the packets queued at it are lost.
     fn end_process(&mut self, i: usize) {
-        let waiting = std::mem::take(&mut self.hosts[i].waiting);
-        for (from, _) in waiting {
-            self.counts_of(from, i).unheard += 1;
+        let queued_packets = std::mem::take(&mut self.hosts[i].queued_packets);
+        for (from, _) in queued_packets {
+            self.counts_of(from, i).undeliverable += 1;
         }
         let n = self.hosts.len();
         self.hosts[i].end_process(n);
     }
 
     fn resume(&mut self, i: usize) {
-        if !std::mem::take(&mut self.hosts[i].stopped) {
+        if !std::mem::take(&mut self.hosts[i].paused) {
             return;
         }
         if self.setup.disabled == Some(Disabled::Lateness) {
             self.deliver_missed_wakes(i);
         }
-        // Which of its threads or descriptors comes first is not for it to say.
+        // The order in which a resumed process sees its timer and its socket is not under its
+        // control.
         let wake_first = self.draw.share() < 0.5;
         let missed = std::mem::take(&mut self.hosts[i].missed_wake);
         if missed && wake_first {
             self.handle_event(i, Event::Wake);
         }
-        while let Some((from, packet)) = self.hosts[i].waiting.pop_front() {
+        while let Some((from, packet)) = self.hosts[i].queued_packets.pop_front() {
             self.deliver(from, i, &packet);
         }
         if missed && !wake_first {
@@ -183,7 +191,7 @@
         }
     }
 
-    /// Each missed wake, delivered with the time at which it was due.
+    /// Delivers each missed wake with the time at which it was due.
     fn deliver_missed_wakes(&mut self, i: usize) {
         while let Some(due) = self.hosts[i].wake_at.filter(|due| *due < self.clock(i)) {
             self.handle_event_at(i, due, Event::Wake);
@@ -194,16 +202,18 @@
     fn arrive(&mut self, from: usize, to: usize, packet: Arc<Packet>) {
         let host = &mut self.hosts[to];
         match () {
-            () if host.plane.is_none() => self.counts_of(from, to).unheard += 1,
-            () if !host.stopped => self.deliver(from, to, &packet),
-            () if host.waiting.len() < SOCKET_HOLDS => host.waiting.push_back((from, packet)),
+            () if host.peers.is_none() => self.counts_of(from, to).undeliverable += 1,
+            () if !host.paused => self.deliver(from, to, &packet),
+            () if host.queued_packets.len() < SOCKET_QUEUE_PACKETS => {
+                host.queued_packets.push_back((from, packet))
+            }
             () => self.counts_of(from, to).overflowed += 1,
         }
     }
 
     fn deliver(&mut self, from: usize, to: usize, packet: &Packet) {
         self.counts_of(from, to).delivered += 1;
-        let redacted = self.setup.disabled.and_then(|part| part.redacted(packet, self.hosts[to].id));
+        let redacted = self.setup.disabled.and_then(|feature| feature.redact(packet, self.hosts[to].id));
         self.handle_event(to, Event::Packet(redacted.as_ref().unwrap_or(packet)));
     }
 
@@ -213,8 +223,8 @@
 
     fn handle_event_at(&mut self, i: usize, now: Time, event: Event<'_>) {
         let mut actions = std::mem::take(&mut self.actions);
-        if let Some(plane) = self.hosts[i].plane.as_mut() {
-            plane.handle(now, event, &mut actions);
+        if let Some(peers) = self.hosts[i].peers.as_mut() {
+            peers.handle(now, event, &mut actions);
         }
         for action in actions.drain(..) {
             match action {
@@ -223,13 +233,13 @@
             }
         }
         self.actions = actions;
-        self.record_view(i);
+        self.record_changes(i);
     }
 
     fn wake_at(&mut self, i: usize, at: Time) {
         let tick = self.tick();
-        let due = at.0.div_ceil(tick).saturating_mul(tick).saturating_sub(self.hosts[i].clock);
-        let number = self.push(due.max(self.now), EventKind::Wake { of: i, number: self.order + 1 });
+        let due = at.0.div_ceil(tick).saturating_mul(tick).saturating_sub(self.hosts[i].clock_offset);
+        let number = self.push(due.max(self.now), EventKind::Wake { member: i, number: self.order + 1 });
         (self.hosts[i].wake_number, self.hosts[i].wake_at) = (number, Some(at));
     }
 
@@ -239,7 +249,11 @@
         if to >= self.hosts.len() {
             return;
         }
-        if self.setup.disabled.is_some_and(|part| part.drops(&packet, self.hosts[from].seen[to].standing)) {
+        if self
+            .setup
+            .disabled
+            .is_some_and(|feature| feature.drops(&packet, self.hosts[from].recorded_views[to].state))
+        {
             return;
         }
         self.hosts[from].count_sent(size);
@@ -252,51 +266,58 @@
         }
         match copies {
             0 => self.counts_of(from, to).dropped += 1,
-            copies => self.counts_of(from, to).doubled += copies - 1,
+            copies => self.counts_of(from, to).duplicated += copies - 1,
         }
-        if self.setup.again > 0.0 && self.replay_draw.share() < self.setup.again {
-            let after = self.replay_draw.exponential(self.setup.again_after.as_nanos() as f64) as u64;
-            self.counts_of(from, to).again += 1;
+        if self.setup.replay_share > 0.0 && self.replay_draw.share() < self.setup.replay_share {
+            let after = self.replay_draw.exponential(self.setup.replay_delay.as_nanos() as f64) as u64;
+            self.counts_of(from, to).replayed += 1;
             self.push(self.now + after, EventKind::Packet { from, to, packet });
         }
     }
 
-    /// Records what a member holds differently now.
-    fn record_view(&mut self, i: usize) {
+    /// Records the changes in what a member holds since the last recording.
+    fn record_changes(&mut self, i: usize) {
         if !self.records_views {
             return;
         }
-        let Some(plane) = self.hosts[i].plane.as_ref() else { return };
-        if plane.version() == self.hosts[i].seen_version {
+        let Some(peers) = self.hosts[i].peers.as_ref() else { return };
+        if peers.version() == self.hosts[i].recorded_version {
             return;
         }
-        let view = plane.view();
-        self.hosts[i].seen_version = view.version;
-        let now = self.held_by(&view);
-        let before = std::mem::replace(&mut self.hosts[i].seen, now);
-        for (of, (before, now)) in before.into_iter().zip(&self.hosts[i].seen).enumerate() {
-            if before != *now {
-                self.log.changes.push(Change { at: self.now, by: i, of, before, now: *now });
+        let view = peers.view();
+        self.hosts[i].recorded_version = view.version;
+        let after = self.member_views_of(&view);
+        let before = std::mem::replace(&mut self.hosts[i].recorded_views, after);
+        for (subject, (before, after)) in before.into_iter().zip(&self.hosts[i].recorded_views).enumerate()
+        {
+            if before != *after {
+                self.log.changes.push(ViewChange {
+                    at: self.now,
+                    observer: i,
+                    subject,
+                    before,
+                    after: *after,
+                });
             }
         }
-        if self.hosts[i].part.replace(view.partition) != Some(view.partition) {
-            self.log.parts.push((self.now, i, view.partition));
+        if self.hosts[i].partition.replace(view.partition) != Some(view.partition) {
+            self.log.partitions.push((self.now, i, view.partition));
         }
     }
 
-    pub(super) fn held_by(&self, view: &View) -> Vec<Held> {
-        let mut holds = vec![Held::default(); self.hosts.len()];
+    pub(super) fn member_views_of(&self, view: &View) -> Vec<MemberView> {
+        let mut views = vec![MemberView::default(); self.hosts.len()];
         for member in &view.members {
-            if let Some(of) = self.by_id.get(&member.update.id) {
+            if let Some(subject) = self.by_id.get(&member.update.id) {
                 let update = &member.update;
-                holds[*of] = Held {
-                    standing: Some(update.state),
+                views[*subject] = MemberView {
+                    state: Some(update.state),
                     incarnation: update.incarnation,
                     boot: update.boot,
                 };
             }
         }
-        holds
+        views
     }
 
     fn counts_of(&mut self, from: usize, to: usize) -> &mut PacketCounts {
@@ -308,10 +329,10 @@
         (self.setup.tick.as_nanos() as u64).max(1)
     }
 
-    /// What a member's clock shows.
+    /// The time on a member's clock.
     fn clock(&self, i: usize) -> Time {
         let tick = self.tick();
-        Time((self.now + self.hosts[i].clock) / tick * tick)
+        Time((self.now + self.hosts[i].clock_offset) / tick * tick)
     }
 }
 
@@ -320,7 +341,7 @@
     format!("sidecar-{i:04}.zone-{}", ["a", "b", "c"][i % 3])
 }
 
-/// Where a member is reached.
+/// The address of a member.
 fn address(i: usize) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::from(FIRST_ADDRESS + i as u32), PORT)
 }
