--- a/crates/lab/src/fleet/plays.rs
+++ b/crates/lab/src/fleet/experiments.rs
@@ -13,7 +13,7 @@
 const PERIOD: Duration = Duration::from_nanos(T);
 /// Resolutions of the clocks in microseconds, one of which is chosen by the seed: a microsecond, a
 /// millisecond, and the coarsest in use (64 ticks per second).
-const TICKS: [u64; 3] = [1, 1_000, 15_625];
+const CLOCK_RESOLUTIONS_US: [u64; 3] = [1, 1_000, 15_625];
 /// The time of an event that did not happen.
 pub const NEVER: u64 = u64::MAX;
 
@@ -30,9 +30,9 @@
 
 /// Creates a fleet whose processes start within one period. Returns it with the time from the last
 /// start until all members agreed.
-pub fn started(n: usize, seed: u64) -> (Fleet, u64) {
+pub fn start_fleet(n: usize, seed: u64) -> (Fleet, u64) {
     let mut setup = Setup::new(n, seed);
-    setup.tick = Duration::from_micros(TICKS[seed as usize % TICKS.len()]);
+    setup.tick = Duration::from_micros(CLOCK_RESOLUTIONS_US[seed as usize % CLOCK_RESOLUTIONS_US.len()]);
     let mut fleet = Fleet::new(setup);
     fleet.start_all(0, T);
     fleet.run_until(T);
@@ -44,14 +44,14 @@
 
 /// Copies a fleet and records the views of the copy. Returns it with the random draws of that
 /// experiment.
-fn observed_copy(base: &Fleet, play: u64, disabled: Option<Disabled>) -> (Fleet, Draw) {
+fn observed_copy(base: &Fleet, experiment: u64, disabled: Option<Disabled>) -> (Fleet, Draw) {
     let mut fleet = base.clone();
     let now = fleet.now();
     fleet.schedule(now, Operation::RecordViews(true));
     if let Some(disabled) = disabled {
         fleet.schedule(now, Operation::Disable(disabled));
     }
-    let draw = Draw::new(base.setup().seed, Purpose::Troubles, play);
+    let draw = Draw::new(base.setup().seed, Purpose::Troubles, experiment);
     (fleet, draw)
 }
 
@@ -65,8 +65,8 @@
 }
 
 /// Crashes one process. Returns the time until each other member held it as dead.
-pub fn crash(base: &Fleet, play: u64) -> Vec<u64> {
-    let (mut fleet, mut draw) = observed_copy(base, play, None);
+pub fn crash_detection_times(base: &Fleet, experiment: u64) -> Vec<u64> {
+    let (mut fleet, mut draw) = observed_copy(base, experiment, None);
     let n = base.setup().members;
     let (victim, at) = (draw.below(n), fleet.now() + (draw.share() * T as f64) as u64);
     fleet.schedule(at, Operation::Crash(victim));
@@ -81,7 +81,7 @@
 
 /// The result of packet loss on all links.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Loss {
+pub struct LossOutcome {
     /// Number of members times number of periods.
     pub member_periods: u64,
     /// Number of times a member suspected another after its own probe.
@@ -91,7 +91,7 @@
 }
 
 /// Loses a share of the packets on all links for `periods` periods.
-pub fn loss(base: &Fleet, share: f64, periods: u64, disabled: Option<Disabled>) -> Loss {
+pub fn packet_loss(base: &Fleet, share: f64, periods: u64, disabled: Option<Disabled>) -> LossOutcome {
     let (mut fleet, _) = observed_copy(base, 1, disabled);
     let (n, now) = (base.setup().members, fleet.now());
     let faults = Faults { loss: share, ..base.setup().faults };
@@ -103,13 +103,17 @@
         before = (before.0 + base.counts(i).suspicions, before.1 + base.counts(i).deaths);
         after = (after.0 + fleet.counts(i).suspicions, after.1 + fleet.counts(i).deaths);
     }
-    Loss { member_periods: n as u64 * periods, suspicions: after.0 - before.0, deaths: after.1 - before.1 }
+    LossOutcome {
+        member_periods: n as u64 * periods,
+        suspicions: after.0 - before.0,
+        deaths: after.1 - before.1,
+    }
 }
 
 /// Cuts the links between one member and nearly half of the others, in one direction or both by
 /// seed, and loses one packet in ten on all links. Returns the longest time for which a member held
 /// the first one as dead.
-pub fn one_way(base: &Fleet, disabled: Option<Disabled>) -> u64 {
+pub fn one_way_cut(base: &Fleet, disabled: Option<Disabled>) -> u64 {
     let (mut fleet, mut draw) = observed_copy(base, 2, disabled);
     let (n, now) = (base.setup().members, fleet.now());
     let victim = draw.below(n);
@@ -130,50 +134,50 @@
 
 /// The result of a network split and its heal.
 #[derive(Clone, Debug)]
-pub struct Split {
+pub struct SplitOutcome {
     /// The time from the split until the last member reported the correct partition status for
     /// good.
-    pub named: u64,
+    pub partition_known_after: u64,
     /// The time from the heal until all members agreed for good.
-    pub healed: u64,
+    pub agreed_after: u64,
     /// Number of pairs that disagreed, for each quarter of a period after the heal.
-    pub astray: Vec<usize>,
+    pub disagreements: Vec<usize>,
 }
 
 /// Splits the members at random into `one` of them and the rest, and heals the split after the time
 /// within which each crash would be known to all.
-pub fn split(base: &Fleet, one: usize, disabled: Option<Disabled>) -> Split {
+pub fn split_and_heal(base: &Fleet, first_side_members: usize, disabled: Option<Disabled>) -> SplitOutcome {
     let (mut fleet, mut draw) = observed_copy(base, 3, disabled);
     let (n, now) = (base.setup().members, fleet.now());
     let mut order: Vec<usize> = (0..n).collect();
     (1..n).for_each(|i| order.swap(i, draw.below(i + 1)));
-    let (first, second) = order.split_at(one);
+    let (first, second) = order.split_at(first_side_members);
     fleet.schedule(now, Operation::Links(Change::Split(first.to_vec(), second.to_vec())));
     let heal = now + bound_nanos(bounds::known_to_all, n) + 10 * T;
     fleet.run_until(heal);
     let lowest_id_member = fleet.lowest_id_member();
-    let right = |side: &[usize]| match (2 * side.len()).cmp(&n) {
+    let expected_status = |side: &[usize]| match (2 * side.len()).cmp(&n) {
         std::cmp::Ordering::Greater => PartitionStatus::Majority,
         std::cmp::Ordering::Equal if side.contains(&lowest_id_member) => PartitionStatus::Majority,
         _ => PartitionStatus::Minority,
     };
-    let rightly = [first, second]
+    let statuses_correct = [first, second]
         .iter()
-        .all(|side| side.iter().all(|i| fleet.partition_status(*i) == Some(right(side))));
+        .all(|side| side.iter().all(|i| fleet.partition_status(*i) == Some(expected_status(side))));
     let last = fleet.log().partitions.iter().filter(|(at, ..)| *at >= now).map(|(at, ..)| at - now).max();
-    let named = last.filter(|_| rightly).unwrap_or(NEVER);
+    let partition_known_after = last.filter(|_| statuses_correct).unwrap_or(NEVER);
     fleet.schedule(heal, Operation::Links(Change::Heal));
-    let mut astray = Vec::new();
+    let mut disagreements = Vec::new();
     for step in 0..4 * agreement_bound(n) / T {
         fleet.run_until(heal + step * T / 4);
-        astray.push(fleet.disagreements());
+        disagreements.push(fleet.disagreements());
     }
-    Split { named, healed: settled_after(&fleet, heal), astray }
+    SplitOutcome { partition_known_after, agreed_after: settled_after(&fleet, heal), disagreements }
 }
 
 /// The result of paused processes.
 #[derive(Clone, Copy, Debug)]
-pub struct Stopped {
+pub struct PauseOutcome {
     /// Number of times that a member held one as dead that was not paused.
     pub falsely_dead: usize,
     /// The time from the resumption until all members agreed.
@@ -181,7 +185,7 @@
 }
 
 /// Pauses one member in five for `time`.
-pub fn stop(base: &Fleet, time: u64, disabled: Option<Disabled>) -> Stopped {
+pub fn pause_members(base: &Fleet, time: u64, disabled: Option<Disabled>) -> PauseOutcome {
     let (mut fleet, mut draw) = observed_copy(base, 4, disabled);
     let (n, now) = (base.setup().members, fleet.now());
     let (first, count) = (draw.below(n), (n / 5).max(1));
@@ -195,13 +199,13 @@
     fleet.run_until(end);
     let falsely_dead =
         fleet.log().dead_intervals(end).iter().filter(|dead| !paused.contains(&dead.subject)).count();
-    Stopped { falsely_dead, agreed_after: settled_after(&fleet, from + time) }
+    PauseOutcome { falsely_dead, agreed_after: settled_after(&fleet, from + time) }
 }
 
 /// Cuts and heals all links of one member in turn, each for one and a half periods, for sixty
 /// periods. Returns how often any member was held as dead, and the time from the last heal until
 /// all members agreed.
-pub fn flap(base: &Fleet) -> (usize, u64) {
+pub fn flap_links(base: &Fleet) -> (usize, u64) {
     let (mut fleet, mut draw) = observed_copy(base, 5, None);
     let (n, now) = (base.setup().members, fleet.now());
     let victim = draw.below(n);
@@ -211,14 +215,14 @@
         fleet.schedule(at, Operation::Links(Change::Split(vec![victim], others.clone())));
         fleet.schedule(at + 3 * T / 2, Operation::Links(Change::Heal));
     }
-    let over = now + 60 * T - 3 * T / 2;
-    fleet.run_until(over + 2 * agreement_bound(n));
-    (fleet.log().dead_intervals(fleet.now()).len(), settled_after(&fleet, over))
+    let last_heal = now + 60 * T - 3 * T / 2;
+    fleet.run_until(last_heal + 2 * agreement_bound(n));
+    (fleet.log().dead_intervals(fleet.now()).len(), settled_after(&fleet, last_heal))
 }
 
 /// Crashes a process and starts a new one at its address after `gap`. Returns the time from the
 /// start until all members hold the new process, and no member twice.
-pub fn restart(base: &Fleet, gap: u64) -> u64 {
+pub fn restart_member(base: &Fleet, gap: u64) -> u64 {
     let (mut fleet, mut draw) = observed_copy(base, 6, None);
     let (n, now) = (base.setup().members, fleet.now());
     let victim = draw.below(n);
@@ -231,7 +235,7 @@
 
 /// Ends all processes at the same time and starts them in random order within a time. Returns the
 /// time from the last start until all members agree.
-pub fn power_loss(base: &Fleet, within: u64, disabled: Option<Disabled>) -> u64 {
+pub fn restart_fleet(base: &Fleet, within: u64, disabled: Option<Disabled>) -> u64 {
     let (mut fleet, _) = observed_copy(base, 7, disabled);
     let (n, now) = (base.setup().members, fleet.now());
     (0..n).for_each(|i| fleet.schedule(now, Operation::Crash(i)));
@@ -243,7 +247,7 @@
 
 /// Bytes per second that members send while nothing happens but packet loss: the mean and the
 /// maximum.
-pub fn bytes(base: &Fleet, loss: f64) -> (f64, f64) {
+pub fn sending_rates(base: &Fleet, loss: f64) -> (f64, f64) {
     let mut fleet = base.clone();
     let (n, now) = (base.setup().members, fleet.now());
     fleet.schedule(now, Operation::Links(Change::All(Faults { loss, ..base.setup().faults })));
@@ -263,7 +267,7 @@
 /// Applies a crash, a restart, a paused process, a leave, and a split with its heal, while a share
 /// of all packets is replayed after a delay. Returns all views in the end, and the longest time for
 /// which a member was held as dead that was not itself disturbed.
-pub fn troubles(base: &Fleet, replay_share: f64) -> (Views, u64) {
+pub fn mixed_faults(base: &Fleet, replay_share: f64) -> (Views, u64) {
     let (mut fleet, _) = observed_copy(base, 8, None);
     let (n, now) = (base.setup().members, fleet.now());
     fleet.schedule(now, Operation::Replay(replay_share, Duration::from_secs(20)));
@@ -271,8 +275,8 @@
     fleet.schedule(now + 10 * T, Operation::Start(0));
     fleet.schedule(now + 40 * T, Operation::Pause(1));
     fleet.schedule(now + 55 * T, Operation::Resume(1));
-    let (one, other) = ((0..n / 3).collect(), (n / 3..n).collect());
-    fleet.schedule(now + 90 * T, Operation::Links(Change::Split(one, other)));
+    let (first_side_members, other) = ((0..n / 3).collect(), (n / 3..n).collect());
+    fleet.schedule(now + 90 * T, Operation::Links(Change::Split(first_side_members, other)));
     let heal = now + 100 * T + bound_nanos(bounds::known_to_all, n);
     fleet.schedule(heal, Operation::Links(Change::Heal));
     fleet.schedule(heal + 60 * T, Operation::Leave(2));
@@ -283,10 +287,11 @@
     let held = |i| fleet.member_views(i).iter().map(|held| (held.state, held.boot)).collect();
     // Leaves out the split, during which each side rightly holds the other as dead, and the members
     // that were disturbed.
-    let whole = |at: u64| at < now + 90 * T || at > heal + agreement_bound(n);
-    let troubled = [0, 1, 2, n - 1];
+    let outside_split = |at: u64| at < now + 90 * T || at > heal + agreement_bound(n);
+    let disturbed = [0, 1, 2, n - 1];
     let dead = fleet.log().dead_intervals(end);
-    let falsely_dead = dead.iter().filter(|dead| whole(dead.from) && !troubled.contains(&dead.subject));
+    let falsely_dead =
+        dead.iter().filter(|dead| outside_split(dead.from) && !disturbed.contains(&dead.subject));
     let longest = falsely_dead.map(|dead| dead.to - dead.from).max().unwrap_or(0);
     ((0..n).map(held).collect(), longest)
 }
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -7,10 +7,10 @@
 //! and queues in the network.
 
 pub mod disabled;
+pub mod experiments;
 mod host;
 mod inspect;
 pub mod log;
-pub mod plays;
 mod queue;
 mod setup;
 pub mod simulation;
--- a/crates/lab/src/prove/peers.rs
+++ b/crates/lab/src/prove/peers.rs
@@ -2,7 +2,9 @@
 //! Each claim on one of its parts is seen to fail with that part taken out.
 
 use super::Claim;
-use crate::fleet::plays::{self, Loss, NEVER, Split, Stopped, T, agreement_bound, bound_nanos};
+use crate::fleet::experiments::{
+    self, LossOutcome, NEVER, PauseOutcome, SplitOutcome, T, agreement_bound, bound_nanos,
+};
 use crate::fleet::{Disabled, Fleet};
 use crate::report::{Line, lines};
 use cottonpoint_peers::{PACKET_LIMIT, bounds};
@@ -76,7 +78,11 @@
 
 impl Fleets {
     fn new(n: usize, seeds: u64, crashes: u64) -> Fleets {
-        Fleets { n, crashes, all: (1..=seeds).into_par_iter().map(|s| plays::started(n, s)).collect() }
+        Fleets {
+            n,
+            crashes,
+            all: (1..=seeds).into_par_iter().map(|s| experiments::start_fleet(n, s)).collect(),
+        }
     }
 
     /// One figure of each fleet.
@@ -89,26 +95,27 @@
     }
 
     fn crashes(&self) -> Vec<Vec<u64>> {
-        let times =
-            (0..self.crashes).into_par_iter().flat_map(|k| self.each(|fleet| plays::crash(fleet, 100 + k)));
+        let times = (0..self.crashes)
+            .into_par_iter()
+            .flat_map(|k| self.each(|fleet| experiments::crash_detection_times(fleet, 100 + k)));
         times.collect()
     }
 
-    fn loss(&self, share: f64, disabled: Option<Disabled>) -> Loss {
-        let all = self.each(|fleet| plays::loss(fleet, share, PERIODS, disabled));
-        all.into_iter().fold(Loss::default(), |sum, one| Loss {
+    fn loss(&self, share: f64, disabled: Option<Disabled>) -> LossOutcome {
+        let all = self.each(|fleet| experiments::packet_loss(fleet, share, PERIODS, disabled));
+        all.into_iter().fold(LossOutcome::default(), |sum, one| LossOutcome {
             member_periods: sum.member_periods + one.member_periods,
             suspicions: sum.suspicions + one.suspicions,
             deaths: sum.deaths + one.deaths,
         })
     }
 
-    fn split(&self, one: usize, disabled: Option<Disabled>) -> Vec<Split> {
-        self.each(|fleet| plays::split(fleet, one, disabled))
+    fn split(&self, one: usize, disabled: Option<Disabled>) -> Vec<SplitOutcome> {
+        self.each(|fleet| experiments::split_and_heal(fleet, one, disabled))
     }
 
-    fn stop(&self, halves: u64, disabled: Option<Disabled>) -> Vec<Stopped> {
-        self.each(|fleet| plays::stop(fleet, halves * T / 2, disabled))
+    fn stop(&self, halves: u64, disabled: Option<Disabled>) -> Vec<PauseOutcome> {
+        self.each(|fleet| experiments::pause_members(fleet, halves * T / 2, disabled))
     }
 
     /// All that is claimed at any size.
@@ -118,13 +125,13 @@
             Box::new(move || self.on_crashes()),
             Box::new(move || self.on_loss()),
             Box::new(move || {
-                let dead = self.each(|fleet| plays::one_way(fleet, None));
+                let dead = self.each(|fleet| experiments::one_way_cut(fleet, None));
                 let claim =
                     "a live member that reaches a majority is held dead, links cut one way, 10% loss";
                 vec![within(self.named(claim), &dead, bound_nanos(bounds::refutation_round, n))]
             }),
             Box::new(move || {
-                let (dead, back): (Vec<_>, Vec<_>) = self.each(plays::flap).into_iter().unzip();
+                let (dead, back): (Vec<_>, Vec<_>) = self.each(experiments::flap_links).into_iter().unzip();
                 let dead: usize = dead.iter().sum();
                 let claim = self.named("held dead while the links of one come and go each 1.5 T, 60 T");
                 let first = Claim::new(claim, "nobody", format!("{dead} times"), dead == 0);
@@ -134,7 +141,7 @@
             Box::new(move || {
                 let times: Vec<u64> = RESTARTS
                     .iter()
-                    .flat_map(|gap| self.each(|fleet| plays::restart(fleet, gap * T / 10)))
+                    .flat_map(|gap| self.each(|fleet| experiments::restart_member(fleet, gap * T / 10)))
                     .collect();
                 let claim = "a new process at the same address is one member, known to all as itself";
                 vec![within(self.named(claim), &times, agreement_bound(n))]
@@ -142,7 +149,7 @@
             Box::new(move || {
                 let mut times: Vec<u64> = self.all.iter().map(|(_, settled)| *settled).collect();
                 for within in [3 * T, 30 * T] {
-                    times.extend(self.each(|fleet| plays::power_loss(fleet, within, None)));
+                    times.extend(self.each(|fleet| experiments::restart_fleet(fleet, within, None)));
                 }
                 let claim =
                     "all ended at one instant and started again in any order: all agree after the last";
@@ -184,7 +191,7 @@
 
     fn on_loss(&self) -> Vec<Claim> {
         let (some, much) = (self.loss(0.1, None), self.loss(0.3, None));
-        let share = |count: u64, of: Loss| count as f64 / of.member_periods.max(1) as f64;
+        let share = |count: u64, of: LossOutcome| count as f64 / of.member_periods.max(1) as f64;
         let bound = SUSPICIONS * chance(self.n, 0.1);
         let suspected = share(some.suspicions, some);
         let thousand = |share: f64| format!("{:.1}", 1000.0 * share);
@@ -209,8 +216,8 @@
 
     fn on_split(&self, one: usize) -> Vec<Claim> {
         let splits = self.split(one, None);
-        let named: Vec<u64> = splits.iter().map(|split| split.named).collect();
-        let healed: Vec<u64> = splits.iter().map(|split| split.healed).collect();
+        let named: Vec<u64> = splits.iter().map(|split| split.partition_known_after).collect();
+        let healed: Vec<u64> = splits.iter().map(|split| split.agreed_after).collect();
         let (sides, n) = (format!("a split of {one} and {}", self.n - one), self.n);
         vec![
             within(
@@ -236,7 +243,8 @@
     }
 
     fn on_replay(&self) -> Vec<Claim> {
-        let pairs = self.each(|fleet| (plays::troubles(fleet, 0.0), plays::troubles(fleet, AGAIN)));
+        let pairs = self
+            .each(|fleet| (experiments::mixed_faults(fleet, 0.0), experiments::mixed_faults(fleet, AGAIN)));
         let differ = pairs.iter().filter(|(without, with)| without.0 != with.0).count();
         let dead: Vec<u64> = pairs.iter().map(|(_, with)| with.1).collect();
         let claim = "views in the end with one packet in five sent again later, and without";
@@ -255,7 +263,7 @@
     let (seeds, most) = if short { (1, 150) } else { (4, 500) };
     let sent = |n| -> (f64, f64, usize) {
         let fleets = Fleets::new(n, seeds, 0);
-        let rates = fleets.each(|fleet| plays::bytes(fleet, 0.0));
+        let rates = fleets.each(|fleet| experiments::sending_rates(fleet, 0.0));
         let mean = rates.iter().map(|rate| rate.0).sum::<f64>() / rates.len() as f64;
         let longest = fleets.all.iter().flat_map(|(f, _)| (0..n).map(|i| f.sent(i).2)).max().unwrap_or(0);
         (mean, rates.iter().map(|rate| rate.1).fold(0.0, f64::max), longest)
@@ -297,11 +305,11 @@
         let measured = format!("{:.1} of 1000 member-periods", 1000.0 * share);
         fails("pings through others", "suspicions at 10% loss keep their bound", measured, kept)
     };
-    let dead = fleets.each(|fleet| plays::one_way(fleet, Some(Disabled::Refutation)));
+    let dead = fleets.each(|fleet| experiments::one_way_cut(fleet, Some(Disabled::Refutation)));
     let dead = quantile(&dead, 1.0);
     let round = bound_nanos(bounds::refutation_round, n);
     let healed: Vec<u64> =
-        fleets.split(n / 2, Some(Disabled::Knocks)).iter().map(|split| split.healed).collect();
+        fleets.split(n / 2, Some(Disabled::Knocks)).iter().map(|split| split.agreed_after).collect();
     let falsely_dead: usize =
         fleets.stop(120, Some(Disabled::Lateness)).iter().map(|stop| stop.falsely_dead).sum();
     let never = healed.iter().filter(|time| **time == NEVER).count();
@@ -340,14 +348,14 @@
             fleets.crashes().iter().map(|run| run.iter().copied().max().unwrap_or(NEVER)).collect();
         let figures = [quantile(&all, 0.5), quantile(&all, 0.99), known(n)];
         known_by.iter_mut().zip(figures).for_each(|(line, time)| line.1.push((n as f64, in_t(time))));
-        let quiet = plays::bytes(&fleets.all[0].0, 0.0);
-        let lossy = plays::bytes(&fleets.all[0].0, 0.1);
+        let quiet = experiments::sending_rates(&fleets.all[0].0, 0.0);
+        let lossy = experiments::sending_rates(&fleets.all[0].0, 0.1);
         let rates = [quiet.0, quiet.1, lossy.0];
         sent.iter_mut().zip(rates).for_each(|(line, rate)| line.1.push((n as f64, rate)));
         if [10, 50, 200].contains(&n) {
-            let split = plays::split(&fleets.all[0].0, n / 2, None);
+            let split = experiments::split_and_heal(&fleets.all[0].0, n / 2, None);
             let pairs = (n * (n - 1)) as f64;
-            let share = split.astray.iter().enumerate().take(160);
+            let share = split.disagreements.iter().enumerate().take(160);
             let points = share.map(|(i, astray)| (i as f64 / 4.0, 100.0 * *astray as f64 / pairs));
             heals.push((format!("{n} members"), points.collect()));
         }
