--- a/crates/lab/src/fleet/disabled.rs
+++ b/crates/lab/src/fleet/disabled.rs
@@ -10,14 +10,14 @@
     /// No member receives updates about itself, so none refutes a suspicion.
     Refutation,
     /// No indirect probe is sent.
-    Indirect,
+    IndirectProbes,
     /// No response of a full state synchronization is sent.
-    Exchange,
+    FullSync,
     /// Members held as dead (last known) are not probed.
-    Knocks,
+    DeadMemberProbes,
     /// A process that was paused gets its missed wakes one by one, each with the time at which it
     /// was due. It cannot detect that it was paused, and takes its own silence for that of others.
-    Lateness,
+    StallDetection,
 }
 
 impl Disabled {
@@ -25,12 +25,12 @@
     /// receiver.
     pub fn drops(self, packet: &Packet, known_state: Option<MemberState>) -> bool {
         match self {
-            Disabled::Indirect => matches!(packet.body, Body::PingRequest { .. }),
-            Disabled::Exchange => matches!(packet.body, Body::SyncResponse),
-            Disabled::Knocks => {
+            Disabled::IndirectProbes => matches!(packet.body, Body::PingRequest { .. }),
+            Disabled::FullSync => matches!(packet.body, Body::SyncResponse),
+            Disabled::DeadMemberProbes => {
                 matches!(packet.body, Body::Ping { .. }) && known_state == Some(MemberState::Dead)
             }
-            Disabled::Refutation | Disabled::Lateness => false,
+            Disabled::Refutation | Disabled::StallDetection => false,
         }
     }
 
--- a/crates/lab/src/fleet/simulation.rs
+++ b/crates/lab/src/fleet/simulation.rs
@@ -173,7 +173,7 @@
         if !std::mem::take(&mut self.hosts[i].paused) {
             return;
         }
-        if self.setup.disabled == Some(Disabled::Lateness) {
+        if self.setup.disabled == Some(Disabled::StallDetection) {
             self.deliver_missed_wakes(i);
         }
         // The order in which a resumed process sees its timer and its socket is not under its
--- a/crates/lab/src/prove/peers.rs
+++ b/crates/lab/src/prove/peers.rs
@@ -299,7 +299,7 @@
         fails(part, "no live member is held dead at 10% loss", measured, loss.deaths == 0)
     };
     let suspected = {
-        let loss = fleets.loss(0.1, Some(Disabled::Indirect));
+        let loss = fleets.loss(0.1, Some(Disabled::IndirectProbes));
         let share = loss.suspicions as f64 / loss.member_periods as f64;
         let kept = share <= SUSPICIONS * chance(n, 0.1);
         let measured = format!("{:.1} of 1000 member-periods", 1000.0 * share);
@@ -308,10 +308,13 @@
     let dead = fleets.each(|fleet| experiments::one_way_cut(fleet, Some(Disabled::Refutation)));
     let dead = quantile(&dead, 1.0);
     let round = bound_nanos(bounds::refutation_round, n);
-    let healed: Vec<u64> =
-        fleets.split(n / 2, Some(Disabled::Knocks)).iter().map(|split| split.agreed_after).collect();
+    let healed: Vec<u64> = fleets
+        .split(n / 2, Some(Disabled::DeadMemberProbes))
+        .iter()
+        .map(|split| split.agreed_after)
+        .collect();
     let falsely_dead: usize =
-        fleets.stop(120, Some(Disabled::Lateness)).iter().map(|stop| stop.falsely_dead).sum();
+        fleets.stop(120, Some(Disabled::StallDetection)).iter().map(|stop| stop.falsely_dead).sum();
     let never = healed.iter().filter(|time| **time == NEVER).count();
     let never = format!("{never} of {seeds} never agree");
     let kept = quantile(&healed, 1.0) <= agreement_bound(n);
