--- a/crates/lab/src/commands/mod.rs
+++ b/crates/lab/src/commands/mod.rs
@@ -155,7 +155,7 @@
 }
 
 fn up(length: Option<Duration>, rate: f64, form: Form) -> Done<bool> {
-    let s = live::up::up(live::up::Terms { length, rate })?;
+    let s = live::demo::run_demo(live::demo::Options { length, rate })?;
     if form.json {
         print_json(&s)?;
     } else {
--- a/crates/lab/src/live/up.rs
+++ b/crates/lab/src/live/demo.rs
@@ -26,7 +26,7 @@
 
 /// Options of the demonstration.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct Options {
     /// How long it runs; `None` means until it is interrupted (Ctrl-C).
     pub length: Option<Duration>,
     /// Requests per second.
@@ -73,12 +73,12 @@
 /// and restarts one endpoint per round, prints a table each second, and shuts everything down at
 /// the end. Errors: a socket, file or process that cannot be created, or a program that does not
 /// start or stop.
-pub fn up(options: Terms) -> io::Result<Summary> {
+pub fn run_demo(options: Options) -> io::Result<Summary> {
     let executor: Executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(run(options, executor.clone())))
 }
 
-async fn run(options: Terms, executor: Executor) -> io::Result<Summary> {
+async fn run(options: Options, executor: Executor) -> io::Result<Summary> {
     let folder = tempfile::tempdir()?;
     let discovery = Discovery::start(&executor)?;
     let mut endpoints = Vec::new();
--- a/crates/lab/src/live/mod.rs
+++ b/crates/lab/src/live/mod.rs
@@ -4,11 +4,11 @@
 //! All stand-ins of a rig share one thread. The system chooses every port.
 
 pub mod clients;
+pub mod demo;
 pub mod discovery;
 pub mod limited_discovery;
 pub mod program;
 pub mod server;
-pub mod up;
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
