--- a/crates/lab/src/live/limited_discovery.rs
+++ b/crates/lab/src/live/limited_discovery.rs
@@ -8,7 +8,7 @@
 //! capacity.
 
 use super::discovery::{Discovery, Poll, send};
-use super::{CountedIn, Executor, is_there};
+use super::{CountedIn, Executor, is_connected};
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http;
@@ -259,7 +259,7 @@
         self.queue.set(queue);
         Timer::at(turn.done_at).await;
         let mut counts = self.counts.borrow_mut();
-        match (turn.served, is_there(stream)) {
+        match (turn.served, is_connected(stream)) {
             (false, _) => counts.rejected += 1,
             (true, true) => counts.delivered += 1,
             (true, false) => counts.wasted += 1,
--- a/crates/lab/src/live/mod.rs
+++ b/crates/lab/src/live/mod.rs
@@ -33,7 +33,7 @@
 }
 
 /// Whether the peer of a connection has not closed it.
-pub(crate) fn is_there(stream: &Async<TcpStream>) -> bool {
+pub(crate) fn is_connected(stream: &Async<TcpStream>) -> bool {
     match stream.get_ref().peek(&mut [0]) {
         Ok(bytes) => bytes > 0,
         Err(error) => error.kind() == io::ErrorKind::WouldBlock,
--- a/crates/lab/src/soak/discovery.rs
+++ b/crates/lab/src/soak/discovery.rs
@@ -4,7 +4,7 @@
 use super::plan::{DiscoveryCondition, WatchFault};
 use super::records::*;
 use crate::live::discovery::{Answers, Line};
-use crate::live::{Executor, is_there};
+use crate::live::{Executor, is_connected};
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http::{self, Head};
@@ -204,7 +204,7 @@
             let end = self.wait(from, hold).await;
             match end {
                 // Nothing is written to a caller that has closed.
-                WatchEnd::News | WatchEnd::TimeIsUp if !is_there(&stream) => return Ok(()),
+                WatchEnd::News | WatchEnd::TimeIsUp if !is_connected(&stream) => return Ok(()),
                 WatchEnd::News | WatchEnd::TimeIsUp => {
                     let (version, body) = (self.version.get(), self.answer(from));
                     self.send(&stream, &body).await?;
@@ -293,7 +293,7 @@
         let bytes = [head.as_bytes(), body.as_bytes()].concat();
         let pieces = self.random.borrow_mut().usize(1..5);
         for piece in bytes.chunks(bytes.len() / pieces + 1) {
-            if !is_there(stream) {
+            if !is_connected(stream) {
                 return Err(io::ErrorKind::BrokenPipe.into());
             }
             stream.write_all(piece).await?;
