--- a/crates/lab/src/live/limited_discovery.rs
+++ b/crates/lab/src/live/limited_discovery.rs
@@ -8,7 +8,7 @@
 //! capacity.
 
 use super::discovery::{Discovery, Poll, send};
-use super::{CountedIn, Executor, is_connected};
+use super::{CountGuard, Executor, is_connected};
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http;
@@ -202,7 +202,7 @@
             }
             let this = self.clone();
             let connection = async move {
-                let _open = CountedIn::new(&this.connections);
+                let _open = CountGuard::new(&this.connections);
                 // An error means that the client has closed the connection or does not speak the
                 // protocol.
                 let _ = this.serve_connection(stream, sidecar).await;
@@ -274,7 +274,7 @@
         if poll.known_version != Some(self.list.generation()) {
             return true;
         }
-        let _open = CountedIn::new(&self.watches);
+        let _open = CountGuard::new(&self.watches);
         let change = async {
             self.list.wait_for_change(poll).await;
             true
--- a/crates/lab/src/live/mod.rs
+++ b/crates/lab/src/live/mod.rs
@@ -42,16 +42,16 @@
 
 /// Guard that increments a counter and decrements it when dropped, also where the future that holds
 /// it is cancelled.
-pub(crate) struct CountedIn<'a>(&'a Cell<usize>);
+pub(crate) struct CountGuard<'a>(&'a Cell<usize>);
 
-impl<'a> CountedIn<'a> {
-    pub(crate) fn new(count: &'a Cell<usize>) -> CountedIn<'a> {
+impl<'a> CountGuard<'a> {
+    pub(crate) fn new(count: &'a Cell<usize>) -> CountGuard<'a> {
         count.set(count.get() + 1);
-        CountedIn(count)
+        CountGuard(count)
     }
 }
 
-impl Drop for CountedIn<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/crates/lab/src/live/server.rs
+++ b/crates/lab/src/live/server.rs
@@ -2,7 +2,7 @@
 //! concurrency limit, reports its load, and can be stopped and restarted under the same name.
 
 use super::discovery::{Discovery, Line};
-use super::{CountedIn, Executor};
+use super::{CountGuard, Executor};
 use crate::draw::{Draw, Purpose};
 use async_executor::Task;
 use async_io::{Async, Timer};
@@ -160,7 +160,7 @@
         }
         let mean = if class == "order" { 0.040 } else { 0.015 };
         let work = self.draw.borrow_mut().exponential(mean) / self.speed;
-        let guard = CountedIn::new(&self.active_requests);
+        let guard = CountGuard::new(&self.active_requests);
         Timer::after(Duration::from_secs_f64(work)).await;
         drop(guard);
         self.busy_seconds.set(self.busy_seconds.get() + work);
--- a/crates/lab/src/soak/endpoint.rs
+++ b/crates/lab/src/soak/endpoint.rs
@@ -5,7 +5,7 @@
 use super::discovery::reset;
 use super::plan::Behaviour;
 use super::records::*;
-use crate::live::{CountedIn, Executor};
+use crate::live::{CountGuard, Executor};
 use async_executor::Task;
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
@@ -153,7 +153,7 @@
             Behaviour::Slow => self.work().mul_f64(SLOWER),
             _ => self.work(),
         };
-        let working = CountedIn::new(&self.working);
+        let working = CountGuard::new(&self.working);
         let mut reader = stream;
         let given_up =
             future::or(async { buffer.fill(&mut reader).await.is_ok_and(|read| read == 0) }, async {
