--- a/crates/lab/src/live/clients.rs
+++ b/crates/lab/src/live/clients.rs
@@ -1,7 +1,7 @@
 //! Open-loop clients of a rig: requests go out at times drawn in advance, whatever becomes of
 //! earlier ones. Latency is measured from the time at which a request was scheduled to go out.
 
-use super::{Executor, within};
+use super::{Executor, with_timeout};
 use crate::draw::{Draw, Purpose};
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
@@ -133,7 +133,7 @@
     }
 
     async fn request(&self, class: Class, scheduled_at: Instant) {
-        let answer = within(class.client_timeout, self.exchange(class)).await;
+        let answer = with_timeout(class.client_timeout, self.exchange(class)).await;
         self.open_requests.set(self.open_requests.get() - 1);
         match answer {
             Ok(200) => {
--- a/crates/lab/src/live/discovery.rs
+++ b/crates/lab/src/live/discovery.rs
@@ -1,7 +1,7 @@
 //! A discovery stand-in: it serves the whole endpoint list, and watches that wait for a newer
 //! version.
 
-use super::{Executor, within};
+use super::{Executor, with_timeout};
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http::{self, Head};
@@ -74,7 +74,7 @@
 pub(super) async fn send(mut stream: &Async<TcpStream>, status: &str, body: &[u8]) -> io::Result<usize> {
     let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len());
     let bytes = [head.as_bytes(), body].concat();
-    within(SEND_TIMEOUT, stream.write_all(&bytes)).await?;
+    with_timeout(SEND_TIMEOUT, stream.write_all(&bytes)).await?;
     Ok(bytes.len())
 }
 
--- a/crates/lab/src/live/mod.rs
+++ b/crates/lab/src/live/mod.rs
@@ -24,7 +24,7 @@
 pub type Executor = Rc<LocalExecutor<'static>>;
 
 /// Runs a future for at most `limit`, then fails with [`io::ErrorKind::TimedOut`].
-pub async fn within<T>(limit: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+pub async fn with_timeout<T>(limit: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     future::or(work, async {
         Timer::after(limit).await;
         Err(io::ErrorKind::TimedOut.into())
--- a/crates/lab/src/soak/clients.rs
+++ b/crates/lab/src/soak/clients.rs
@@ -3,7 +3,7 @@
 
 use super::endpoint::body_for;
 use super::records::*;
-use crate::live::{Executor, within};
+use crate::live::{Executor, with_timeout};
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http;
@@ -160,7 +160,8 @@
     }
 
     async fn connect(&self) -> io::Result<Connection> {
-        let stream = within(Duration::from_secs(2), Async::<TcpStream>::connect(self.address)).await?;
+        let stream =
+            with_timeout(Duration::from_secs(2), Async::<TcpStream>::connect(self.address)).await?;
         stream.get_ref().set_nodelay(true)?;
         Ok(Connection { stream, buffer: Buffer::default() })
     }
@@ -250,7 +251,7 @@
         let mut connection = self.connect().await?;
         connection.stream.write_all(half.as_bytes()).await?;
         let sent = self.began.elapsed();
-        let ended = within(BAD_CLIENTS_LOOK, async {
+        let ended = with_timeout(BAD_CLIENTS_LOOK, async {
             // An answer, an end and a reset are all fine.
             let _ = connection.stream.read(&mut [0; 64]).await;
             Ok(self.began.elapsed())
--- a/crates/lab/src/soak/member.rs
+++ b/crates/lab/src/soak/member.rs
@@ -4,7 +4,7 @@
 use super::discovery::PLACES;
 use super::oracle::{COLD_FROM, COLD_MULTIPLE, COLD_WINDOW, DRAIN_GRACE, KEY_WINDOW, WARM_AFTER};
 use super::plan::{Plan, Shim};
-use crate::live::within;
+use crate::live::with_timeout;
 use crate::rig::process::Process;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -208,7 +208,7 @@
 }
 
 async fn ask(address: SocketAddr, text: &str) -> io::Result<String> {
-    within(ANSWERS_WITHIN, async {
+    with_timeout(ANSWERS_WITHIN, async {
         let mut stream = Async::<TcpStream>::connect(address).await?;
         stream.write_all(text.as_bytes()).await?;
         let mut answer = String::new();
