--- a/crates/lab/src/live/discovery.rs
+++ b/crates/lab/src/live/discovery.rs
@@ -182,7 +182,7 @@
     }
 
     /// Adds or replaces an entry, which makes a new version of the list and answers open watches.
-    pub fn list(&self, line: Line) {
+    pub fn publish(&self, line: Line) {
         let generation = self.generation.get() + 1;
         self.generation.set(generation);
         self.lines.borrow_mut().insert(line.instance_id.clone(), (generation, line));
--- a/crates/lab/src/live/server.rs
+++ b/crates/lab/src/live/server.rs
@@ -118,7 +118,7 @@
     /// Changes the lifecycle of its entry in the list, also after it has been stopped.
     pub fn set_lifecycle(&self, lifecycle: &'static str) {
         if let Some(list_entry) = &*self.list_entry.borrow() {
-            self.discovery.list(Line { lifecycle, ..list_entry.clone() });
+            self.discovery.publish(Line { lifecycle, ..list_entry.clone() });
         }
     }
 
--- a/crates/lab/src/scale/host/discovery.rs
+++ b/crates/lab/src/scale/host/discovery.rs
@@ -58,15 +58,15 @@
 fn publish(discovery: &Discovery, version: u64) {
     let place = LIST_LINES - 1;
     if let Some(last) = version.checked_sub(1) {
-        discovery.list(line(place, newest_line(last), "left"));
+        discovery.publish(line(place, newest_line(last), "left"));
     }
-    discovery.list(line(place, newest_line(version), "active"));
+    discovery.publish(line(place, newest_line(version), "active"));
 }
 
 pub(super) async fn serve(executor: &Executor) -> io::Result<()> {
     let discovery = Discovery::start(executor)?;
     for place in 0..LIST_LINES - 1 {
-        discovery.list(line(place, format!("service-1-endpoint-{place:03}"), "active"));
+        discovery.publish(line(place, format!("service-1-endpoint-{place:03}"), "active"));
     }
     publish(&discovery, 0);
     let address = discovery.address;
--- a/crates/lab/tests/herd.rs
+++ b/crates/lab/tests/herd.rs
@@ -61,7 +61,7 @@
 
 async fn run_outage(executor: Executor) {
     let list = Discovery::start(&executor).expect("a list");
-    (0..3).for_each(|index| list.list(line(index, "active")));
+    (0..3).for_each(|index| list.publish(line(index, "active")));
     let before_outage = Availability::Serving(Capacity::per_second(RATE_BEFORE_OUTAGE, MAX_QUEUE_TIME));
     let discovery =
         LimitedDiscovery::start(&executor, list.clone(), PROCESSES, before_outage).expect("a discovery");
@@ -72,7 +72,7 @@
 
     Timer::after(MIN_WATCH_AGE).await;
     discovery.set_availability(Availability::Unavailable { delay: UNAVAILABLE_DELAY });
-    list.list(line(0, "leaving"));
+    list.publish(line(0, "leaving"));
     Timer::after(OUTAGE).await;
     let outage_counts = discovery
         .set_availability(Availability::Serving(Capacity::per_second(RATE_AFTER_OUTAGE, MAX_QUEUE_TIME)));
