--- a/crates/lab/src/fleet/experiments.rs
+++ b/crates/lab/src/fleet/experiments.rs
@@ -144,8 +144,8 @@
     pub disagreements: Vec<usize>,
 }
 
-/// Splits the members at random into `one` of them and the rest, and heals the split after the time
-/// within which each crash would be known to all.
+/// Splits the members at random into `first_side_members` of them and the rest, and heals the split
+/// after the time within which each crash would be known to all.
 pub fn split_and_heal(base: &Fleet, first_side_members: usize, disabled: Option<Disabled>) -> SplitOutcome {
     let (mut fleet, mut draw) = observed_copy(base, 3, disabled);
     let (n, now) = (base.setup().members, fleet.now());
@@ -275,8 +275,8 @@
     fleet.schedule(now + 10 * T, Operation::Start(0));
     fleet.schedule(now + 40 * T, Operation::Pause(1));
     fleet.schedule(now + 55 * T, Operation::Resume(1));
-    let (first_side_members, other) = ((0..n / 3).collect(), (n / 3..n).collect());
-    fleet.schedule(now + 90 * T, Operation::Links(Change::Split(first_side_members, other)));
+    let (one_side, other_side) = ((0..n / 3).collect(), (n / 3..n).collect());
+    fleet.schedule(now + 90 * T, Operation::Links(Change::Split(one_side, other_side)));
     let heal = now + 100 * T + bound_nanos(bounds::known_to_all, n);
     fleet.schedule(heal, Operation::Links(Change::Heal));
     fleet.schedule(heal + 60 * T, Operation::Leave(2));
@@ -284,7 +284,7 @@
     fleet.schedule(heal + 140 * T + bound_nanos(bounds::known_to_all, n), Operation::RecordViews(false));
     let end = heal + 150 * T + bound_nanos(bounds::known_to_all, n);
     fleet.run_until(end);
-    let held = |i| fleet.member_views(i).iter().map(|held| (held.state, held.boot)).collect();
+    let views_of = |i| fleet.member_views(i).iter().map(|view| (view.state, view.boot)).collect();
     // Leaves out the split, during which each side rightly holds the other as dead, and the members
     // that were disturbed.
     let outside_split = |at: u64| at < now + 90 * T || at > heal + agreement_bound(n);
@@ -293,5 +293,5 @@
     let falsely_dead =
         dead.iter().filter(|dead| outside_split(dead.from) && !disturbed.contains(&dead.subject));
     let longest = falsely_dead.map(|dead| dead.to - dead.from).max().unwrap_or(0);
-    ((0..n).map(held).collect(), longest)
+    ((0..n).map(views_of).collect(), longest)
 }
--- a/crates/lab/src/fleet/inspect.rs
+++ b/crates/lab/src/fleet/inspect.rs
@@ -82,9 +82,9 @@
     fn disagreements_by_member(&self) -> impl Iterator<Item = usize> {
         let boots: Vec<_> = (0..self.hosts.len()).map(|i| self.boot(i)).collect();
         let running = (0..self.hosts.len()).filter(|i| self.is_running(*i));
-        let wrong = |held: &MemberView, boot: &Option<u64>| match boot {
-            Some(boot) => held.state != Some(MemberState::Reachable) || held.boot != *boot,
-            None => held.is_alive(),
+        let wrong = |view: &MemberView, boot: &Option<u64>| match boot {
+            Some(boot) => view.state != Some(MemberState::Reachable) || view.boot != *boot,
+            None => view.is_alive(),
         };
         running.map(move |i| self.member_views(i).iter().zip(&boots).filter(|(h, b)| wrong(h, b)).count())
     }
--- a/crates/lab/src/live/demo.rs
+++ b/crates/lab/src/live/demo.rs
@@ -3,8 +3,8 @@
 use super::Executor;
 use super::clients::{Class, Clients};
 use super::discovery::Discovery;
+use super::endpoint::EndpointStandIn;
 use super::program::{Program, class, settings};
-use super::server::EndpointStandIn;
 use crate::report::markdown;
 use async_executor::LocalExecutor;
 use async_io::Timer;
--- a/crates/lab/src/live/server.rs
+++ b/crates/lab/src/live/endpoint.rs
@@ -91,9 +91,9 @@
         let (this, connection_tasks) = (Rc::downgrade(self), connections.clone());
         let accept = self.executor.spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let Some(server) = this.upgrade() else { return };
-                let executor = server.executor.clone();
-                let task = executor.spawn(async move { server.serve_connection(stream).await });
+                let Some(endpoint) = this.upgrade() else { return };
+                let executor = endpoint.executor.clone();
+                let task = executor.spawn(async move { endpoint.serve_connection(stream).await });
                 let mut tasks = connection_tasks.borrow_mut();
                 tasks.retain(|t: &Task<()>| !t.is_finished());
                 tasks.push(task);
--- a/crates/lab/src/live/mod.rs
+++ b/crates/lab/src/live/mod.rs
@@ -6,9 +6,9 @@
 pub mod clients;
 pub mod demo;
 pub mod discovery;
+pub mod endpoint;
 pub mod limited_discovery;
 pub mod program;
-pub mod server;
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
