--- a/crates/lab/src/commands/mod.rs
+++ b/crates/lab/src/commands/mod.rs
@@ -160,7 +160,7 @@
 }
 
 fn up(length: Option<Duration>, rate: f64, form: Form) -> CommandResult<bool> {
-    let summary = live::up::up(live::up::Terms { length, rate })?;
+    let summary = live::demo::run_demo(live::demo::Options { length, rate })?;
     if form.json {
         print_json(&summary)?;
     } else {
--- a/crates/lab/src/live/mod.rs
+++ b/crates/lab/src/live/mod.rs
@@ -1,13 +1,14 @@
-//! Stand-ins on loopback sockets in real time: discovery, servers, clients, and the real program beside them.
+//! Stand-ins for discovery, endpoints and clients on loopback sockets in real time, with the real
+//! program running beside them.
 //!
-//! All stand-ins of a rig run on one thread; every port is drawn by the system.
+//! All stand-ins of a rig share one thread. The system chooses every port.
 
 pub mod clients;
+pub mod demo;
 pub mod discovery;
-pub mod overrun;
+pub mod endpoint;
+pub mod limited_discovery;
 pub mod program;
-pub mod server;
-pub mod up;
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -19,11 +20,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The executor of a rig.
+/// The single-threaded executor on which the stand-ins of a rig run.
 pub type Executor = Rc<LocalExecutor<'static>>;
 
-/// Runs a future for at most so long.
-pub async fn within<T>(limit: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+/// Runs a future for at most `limit`, then fails with [`io::ErrorKind::TimedOut`].
+pub async fn with_timeout<T>(limit: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     future::or(work, async {
         Timer::after(limit).await;
         Err(io::ErrorKind::TimedOut.into())
@@ -31,25 +32,26 @@
     .await
 }
 
-/// Whether a caller has not closed its connection.
-pub(crate) fn is_there(stream: &Async<TcpStream>) -> bool {
+/// Whether the peer of a connection has not closed it.
+pub(crate) fn is_connected(stream: &Async<TcpStream>) -> bool {
     match stream.get_ref().peek(&mut [0]) {
         Ok(bytes) => bytes > 0,
-        Err(why) => why.kind() == io::ErrorKind::WouldBlock,
+        Err(error) => error.kind() == io::ErrorKind::WouldBlock,
     }
 }
 
-/// Counts one more for as long as it lives, also where the work that holds it is dropped.
-pub(crate) struct CountedIn<'a>(&'a Cell<usize>);
+/// Guard that increments a counter and decrements it when dropped, also where the future that holds
+/// it is cancelled.
+pub(crate) struct CountGuard<'a>(&'a Cell<usize>);
 
-impl<'a> CountedIn<'a> {
-    pub(crate) fn new(count: &'a Cell<usize>) -> CountedIn<'a> {
+impl<'a> CountGuard<'a> {
+    pub(crate) fn new(count: &'a Cell<usize>) -> CountGuard<'a> {
         count.set(count.get() + 1);
-        CountedIn(count)
+        CountGuard(count)
     }
 }
 
-impl Drop for CountedIn<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/crates/lab/src/prove/peers.rs
+++ b/crates/lab/src/prove/peers.rs
@@ -3,7 +3,9 @@
 //! disabled.
 
 use super::Claim;
-use crate::fleet::plays::{self, Loss, NEVER, Split, Stopped, T, agreement_bound, bound_nanos};
+use crate::fleet::experiments::{
+    self, LossOutcome, NEVER, PauseOutcome, SplitOutcome, T, agreement_bound, bound_nanos,
+};
 use crate::fleet::{Disabled, Fleet};
 use crate::report::{Line, lines};
 use cottonpoint_peers::{PACKET_LIMIT, bounds};
@@ -86,7 +88,10 @@
 
 impl Fleets {
     fn new(n: usize, seeds: u64, crashes: u64) -> Fleets {
-        Fleets { n, crashes, settled: (1..=seeds).into_par_iter().map(|s| plays::started(n, s)).collect() }
+        Fleets {
+            n,
+            crashes, settled: (1..=seeds).into_par_iter().map(|s| experiments::start_fleet(n, s)).collect(),
+        }
     }
 
     /// Simulates each fleet from its settled state; the results are in the order of the fleets.
@@ -101,25 +106,25 @@
     fn crashes(&self) -> Vec<Vec<u64>> {
         let times = (0..self.crashes)
             .into_par_iter()
-            .flat_map(|k| self.for_each_fleet(|fleet| plays::crash(fleet, 100 + k)));
+            .flat_map(|k| self.for_each_fleet(|fleet| experiments::crash_detection_times(fleet, 100 + k)));
         times.collect()
     }
 
-    fn loss(&self, share: f64, disabled: Option<Disabled>) -> Loss {
-        let all = self.for_each_fleet(|fleet| plays::loss(fleet, share, LOSS_PERIODS, disabled));
-        all.into_iter().fold(Loss::default(), |sum, one| Loss {
+    fn loss(&self, share: f64, disabled: Option<Disabled>) -> LossOutcome {
+        let all = self.for_each_fleet(|fleet| experiments::packet_loss(fleet, share, LOSS_PERIODS, disabled));
+        all.into_iter().fold(LossOutcome::default(), |sum, one| LossOutcome {
             member_periods: sum.member_periods + one.member_periods,
             suspicions: sum.suspicions + one.suspicions,
             deaths: sum.deaths + one.deaths,
         })
     }
 
-    fn split(&self, part_size: usize, disabled: Option<Disabled>) -> Vec<Split> {
-        self.for_each_fleet(|fleet| plays::split(fleet, part_size, disabled))
+    fn split(&self, part_size: usize, disabled: Option<Disabled>) -> Vec<SplitOutcome> {
+        self.for_each_fleet(|fleet| experiments::split_and_heal(fleet, part_size, disabled))
     }
 
-    fn stop(&self, half_periods: u64, disabled: Option<Disabled>) -> Vec<Stopped> {
-        self.for_each_fleet(|fleet| plays::stop(fleet, half_periods * T / 2, disabled))
+    fn stop(&self, half_periods: u64, disabled: Option<Disabled>) -> Vec<PauseOutcome> {
+        self.for_each_fleet(|fleet| experiments::pause_members(fleet, half_periods * T / 2, disabled))
     }
 
     /// The checks for this size.
@@ -129,7 +134,7 @@
             Box::new(move || self.check_crashes()),
             Box::new(move || self.check_loss()),
             Box::new(move || {
-                let dead = self.for_each_fleet(|fleet| plays::one_way(fleet, None));
+                let dead = self.for_each_fleet(|fleet| experiments::one_way_cut(fleet, None));
                 let claim =
                     "a live member that reaches a majority is held dead, links cut one way, 10% loss";
                 vec![worst_case_claim(
@@ -139,7 +144,7 @@
                 )]
             }),
             Box::new(move || {
-                let (dead, back): (Vec<_>, Vec<_>) = self.for_each_fleet(plays::flap).into_iter().unzip();
+                let (dead, back): (Vec<_>, Vec<_>) = self.for_each_fleet(experiments::flap_links).into_iter().unzip();
                 let dead: usize = dead.iter().sum();
                 let claim = self.with_size("held dead while the links of one come and go each 1.5 T, 60 T");
                 let first = Claim::new(claim, "nobody", format!("{dead} times"), dead == 0);
@@ -149,7 +154,7 @@
             Box::new(move || {
                 let times: Vec<u64> = RESTART_TENTH_PERIODS
                     .iter()
-                    .flat_map(|gap| self.for_each_fleet(|fleet| plays::restart(fleet, gap * T / 10)))
+                    .flat_map(|gap| self.for_each_fleet(|fleet| experiments::restart_member(fleet, gap * T / 10)))
                     .collect();
                 let claim = "a new process at the same address is one member, known to all as itself";
                 vec![worst_case_claim(self.with_size(claim), &times, agreement_bound(n))]
@@ -158,7 +163,7 @@
                 let mut times: Vec<u64> =
                     self.settled.iter().map(|(_, settle_time)| *settle_time).collect();
                 for interval in [3 * T, 30 * T] {
-                    times.extend(self.for_each_fleet(|fleet| plays::power_loss(fleet, interval, None)));
+                    times.extend(self.for_each_fleet(|fleet| experiments::restart_fleet(fleet, interval, None)));
                 }
                 let claim =
                     "all ended at one instant and started again in any order: all agree after the last";
@@ -210,7 +215,7 @@
 
     fn check_loss(&self) -> Vec<Claim> {
         let (moderate, severe) = (self.loss(0.1, None), self.loss(0.3, None));
-        let share = |count: u64, of: Loss| count as f64 / of.member_periods.max(1) as f64;
+        let share = |count: u64, of: LossOutcome| count as f64 / of.member_periods.max(1) as f64;
         let bound = MAX_SUSPICION_RATIO * expected_suspicions(self.n, 0.1);
         let suspected = share(moderate.suspicions, moderate);
         let per_thousand = |share: f64| format!("{:.1}", 1000.0 * share);
@@ -240,8 +245,8 @@
 
     fn check_split(&self, part_size: usize) -> Vec<Claim> {
         let splits = self.split(part_size, None);
-        let named: Vec<u64> = splits.iter().map(|split| split.named).collect();
-        let healed: Vec<u64> = splits.iter().map(|split| split.healed).collect();
+        let named: Vec<u64> = splits.iter().map(|split| split.partition_known_after).collect();
+        let healed: Vec<u64> = splits.iter().map(|split| split.agreed_after).collect();
         let (sides, n) = (format!("a split of {part_size} and {}", self.n - part_size), self.n);
         vec![
             worst_case_claim(
@@ -272,7 +277,7 @@
 
     fn check_replay(&self) -> Vec<Claim> {
         let pairs = self
-            .for_each_fleet(|fleet| (plays::troubles(fleet, 0.0), plays::troubles(fleet, REPLAYED_SHARE)));
+            .for_each_fleet(|fleet| (experiments::mixed_faults(fleet, 0.0), experiments::mixed_faults(fleet, REPLAYED_SHARE)));
         let differ = pairs.iter().filter(|(without, with)| without.0 != with.0).count();
         let dead: Vec<u64> = pairs.iter().map(|(_, with)| with.1).collect();
         let claim = "views in the end with one packet in five sent again later, and without";
@@ -291,7 +296,7 @@
     let (seeds, largest) = if short { (1, 150) } else { (4, 500) };
     let measure = |n| -> (f64, f64, usize) {
         let fleets = Fleets::new(n, seeds, 0);
-        let rates = fleets.for_each_fleet(|fleet| plays::bytes(fleet, 0.0));
+        let rates = fleets.for_each_fleet(|fleet| experiments::sending_rates(fleet, 0.0));
         let mean = rates.iter().map(|rate| rate.0).sum::<f64>() / rates.len() as f64;
         let longest =
             fleets.settled.iter().flat_map(|(f, _)| (0..n).map(|i| f.sent(i).2)).max().unwrap_or(0);
@@ -333,19 +338,22 @@
         fails(part, "no live member is held dead at 10% loss", measured, loss.deaths == 0)
     };
     let suspected = {
-        let loss = fleets.loss(0.1, Some(Disabled::Indirect));
+        let loss = fleets.loss(0.1, Some(Disabled::IndirectProbes));
         let share = loss.suspicions as f64 / loss.member_periods as f64;
         let kept = share <= MAX_SUSPICION_RATIO * expected_suspicions(n, 0.1);
         let measured = format!("{:.1} of 1000 member-periods", 1000.0 * share);
         fails("pings through others", "suspicions at 10% loss keep their bound", measured, kept)
     };
-    let dead = fleets.for_each_fleet(|fleet| plays::one_way(fleet, Some(Disabled::Refutation)));
+    let dead = fleets.for_each_fleet(|fleet| experiments::one_way_cut(fleet, Some(Disabled::Refutation)));
     let dead = quantile(&dead, 1.0);
     let round = bound_nanos(bounds::refutation_round, n);
-    let healed: Vec<u64> =
-        fleets.split(n / 2, Some(Disabled::Knocks)).iter().map(|split| split.healed).collect();
+    let healed: Vec<u64> = fleets
+        .split(n / 2, Some(Disabled::DeadMemberProbes))
+        .iter()
+        .map(|split| split.agreed_after)
+        .collect();
     let falsely_dead: usize =
-        fleets.stop(120, Some(Disabled::Lateness)).iter().map(|stop| stop.falsely_dead).sum();
+        fleets.stop(120, Some(Disabled::StallDetection)).iter().map(|stop| stop.falsely_dead).sum();
     let never = healed.iter().filter(|time| **time == NEVER).count();
     let never = format!("{never} of {seeds} never agree");
     let kept = quantile(&healed, 1.0) <= agreement_bound(n);
@@ -382,14 +390,14 @@
             fleets.crashes().iter().map(|run| run.iter().copied().max().unwrap_or(NEVER)).collect();
         let figures = [quantile(&all, 0.5), quantile(&all, 0.99), crash_known_bound(n)];
         known_by.iter_mut().zip(figures).for_each(|(line, time)| line.1.push((n as f64, in_t(time))));
-        let quiet = plays::bytes(&fleets.settled[0].0, 0.0);
-        let lossy = plays::bytes(&fleets.settled[0].0, 0.1);
+        let quiet = experiments::sending_rates(&fleets.settled[0].0, 0.0);
+        let lossy = experiments::sending_rates(&fleets.settled[0].0, 0.1);
         let rates = [quiet.0, quiet.1, lossy.0];
         sent.iter_mut().zip(rates).for_each(|(line, rate)| line.1.push((n as f64, rate)));
         if [10, 50, 200].contains(&n) {
-            let split = plays::split(&fleets.settled[0].0, n / 2, None);
+            let split = experiments::split_and_heal(&fleets.settled[0].0, n / 2, None);
             let pairs = (n * (n - 1)) as f64;
-            let share = split.astray.iter().enumerate().take(160);
+            let share = split.disagreements.iter().enumerate().take(160);
             let points = share.map(|(i, astray)| (i as f64 / 4.0, 100.0 * *astray as f64 / pairs));
             heals.push((format!("{n} members"), points.collect()));
         }
--- a/crates/lab/src/soak/discovery.rs
+++ b/crates/lab/src/soak/discovery.rs
@@ -5,7 +5,7 @@
 use super::plan::{DiscoveryCondition, WatchFault};
 use super::records::*;
 use crate::live::discovery::{Answers, Line};
-use crate::live::{Executor, is_there};
+use crate::live::{Executor, is_connected};
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http::{self, Head};
@@ -212,7 +212,7 @@
             let end = self.wait_for_change(from, hold).await;
             match end {
                 // Nothing is written to a client that has closed its connection.
-                WatchEnd::Changed | WatchEnd::HoldExpired if !is_there(&stream) => return Ok(()),
+                WatchEnd::Changed | WatchEnd::HoldExpired if !is_connected(&stream) => return Ok(()),
                 WatchEnd::Changed | WatchEnd::HoldExpired => {
                     let (version, body) = (self.version.get(), self.list_json(from));
                     self.send(&stream, &body).await?;
@@ -306,7 +306,7 @@
         let bytes = [head.as_bytes(), body.as_bytes()].concat();
         let pieces = self.random.borrow_mut().usize(1..5);
         for piece in bytes.chunks(bytes.len() / pieces + 1) {
-            if !is_there(stream) {
+            if !is_connected(stream) {
                 return Err(io::ErrorKind::BrokenPipe.into());
             }
             stream.write_all(piece).await?;
--- a/crates/lab/src/soak/endpoint.rs
+++ b/crates/lab/src/soak/endpoint.rs
@@ -5,7 +5,7 @@
 use super::discovery::reset;
 use super::plan::Behaviour;
 use super::records::*;
-use crate::live::{CountedIn, Executor};
+use crate::live::{CountGuard, Executor};
 use async_executor::Task;
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
@@ -155,7 +155,7 @@
             Behaviour::Slow => self.draw_work().mul_f64(SLOW_FACTOR),
             _ => self.draw_work(),
         };
-        let in_progress = CountedIn::new(&self.in_progress);
+        let in_progress = CountGuard::new(&self.in_progress);
         let mut reader = stream;
         let client_closed =
             future::or(async { buffer.fill(&mut reader).await.is_ok_and(|read| read == 0) }, async {
--- a/crates/lab/src/soak/member.rs
+++ b/crates/lab/src/soak/member.rs
@@ -4,7 +4,7 @@
 use super::discovery::ADDRESSES_PER_PROCESS;
 use super::oracle::{COLD_FROM, COLD_MULTIPLE, COLD_WINDOW, DRAIN_GRACE, IDEMPOTENCY_WINDOW, WARM_AFTER};
 use super::plan::{Plan, ShimFaults};
-use crate::live::within;
+use crate::live::with_timeout;
 use crate::rig::process::Process;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -211,7 +211,7 @@
 }
 
 async fn query(address: SocketAddr, text: &str) -> io::Result<String> {
-    within(QUERY_TIMEOUT, async {
+    with_timeout(QUERY_TIMEOUT, async {
         let mut stream = Async::<TcpStream>::connect(address).await?;
         stream.write_all(text.as_bytes()).await?;
         let mut answer = String::new();
