--- a/crates/lab/src/scale/arguments.rs
+++ b/crates/lab/src/scale/arguments.rs
@@ -1,17 +1,17 @@
-//! The arguments of a run, and what is refused.
+//! The arguments of a scale run and their bounds.
 
 use std::fmt;
 use std::path::PathBuf;
 
-/// The least `--total`: fewer leave nothing to fit.
+/// The least `--total`. With fewer sidecars there is nothing to fit.
 pub const TOTAL_MIN: usize = 61;
-/// The greatest: the relays have room for twice as many.
+/// The greatest `--total`. The relays have room for twice as many sidecars.
 pub const TOTAL_MAX: usize = 2000;
-/// The same in the short form, which is to end within seconds.
+/// The least `--total` in the short form, which has to end within seconds.
 pub const SHORT_TOTAL_MIN: usize = 15;
-/// See [`SHORT_TOTAL_MIN`].
+/// The greatest `--total` in the short form; see [`SHORT_TOTAL_MIN`].
 pub const SHORT_TOTAL_MAX: usize = 200;
-/// Real processes at most.
+/// The largest number of real processes.
 pub const REAL_MAX: usize = 200;
 
 const FULL_TOTAL: usize = 610;
@@ -19,72 +19,73 @@
 const FULL_REAL: usize = 8;
 const SHORT_REAL: usize = 2;
 
-/// What a real process, a hollow sidecar and a host of stand-ins may take, in KiB: more than each was seen to take.
-const REAL_KIB: u64 = 32 * 1024;
-const HOLLOW_KIB: u64 = 256;
-const HOSTS_KIB: u64 = 7 * 64 * 1024;
+/// Upper estimates of the memory of a real process, a hollow sidecar and all stand-in processes, in
+/// KiB.
+const REAL_SIDECAR_KIB: u64 = 32 * 1024;
+const HOLLOW_SIDECAR_KIB: u64 = 256;
+const STAND_INS_KIB: u64 = 7 * 64 * 1024;
 
-/// How long a run is and what it checks.
+/// The form of a run: how long it takes and what it checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
-    /// Minutes: all figures, fits and a prediction.
+    /// Takes minutes: measures all figures, fits lines and checks a prediction.
     Full,
-    /// Seconds: counts and bytes are checked.
+    /// Takes seconds: checks counts and bytes only.
     Short,
 }
 
-/// The arguments as given.
+/// The arguments as given on the command line.
 #[derive(Clone, Debug)]
 pub struct Arguments {
-    /// Whether the short form is wanted.
+    /// Whether the short form is requested.
     pub short: bool,
-    /// Sidecars at the largest measured size.
+    /// The number of sidecars at the largest measured size.
     pub total: Option<usize>,
-    /// Of them, real processes.
+    /// The number of real processes among them.
     pub real: Option<usize>,
-    /// Where the figures go.
+    /// The directory for the results.
     pub out: PathBuf,
 }
 
-/// What a run will play.
+/// What a run measures.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// Its form.
+    /// The form of the run.
     pub form: Form,
-    /// Sidecars in all at each measured size, growing.
+    /// The number of sidecars at each measured size, in ascending order.
     pub sizes: Vec<usize>,
-    /// The size that is predicted, then measured.
+    /// The size for which figures are predicted and then measured.
     pub predicted: Option<usize>,
-    /// Real processes; at a size of fewer sidecars, all of them.
+    /// The number of real processes. At a size with fewer sidecars, all of them are real.
     pub real: usize,
 }
 
-/// What an argument is held to.
+/// The bound that an argument violates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bound {
-    /// No less.
+    /// A minimum.
     AtLeast(usize),
-    /// No more.
+    /// A maximum.
     AtMost(usize),
-    /// No more than `--total`.
-    Total(usize),
-    /// What the run may take, against half of the machine's memory; both in KiB.
+    /// The value of `--total` as the maximum.
+    AtMostTotal(usize),
+    /// Half of the machine's memory as the maximum for the memory that the run may take, in KiB.
     Memory {
-        /// What it may take.
+        /// The memory that the run may take.
         needed: u64,
-        /// Half of the machine's.
+        /// Half of the machine's memory.
         half: u64,
     },
 }
 
-/// An argument out of its bounds.
+/// An argument that is out of bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadArgument {
-    /// Its name.
+    /// The argument's name.
     pub argument: &'static str,
-    /// What was given.
+    /// The value given.
     pub value: usize,
-    /// What it is held to.
+    /// The bound that it violates.
     pub bound: Bound,
 }
 
@@ -93,9 +94,9 @@
         let BadArgument { argument, value, bound } = self;
         write!(f, "{argument} {value}: ")?;
         match bound {
-            Bound::AtLeast(least) => write!(f, "must be at least {least}"),
-            Bound::AtMost(most) => write!(f, "must be at most {most}"),
-            Bound::Total(total) => write!(f, "must be at most --total, which is {total}"),
+            Bound::AtLeast(min) => write!(f, "must be at least {min}"),
+            Bound::AtMost(max) => write!(f, "must be at most {max}"),
+            Bound::AtMostTotal(total) => write!(f, "must be at most --total, which is {total}"),
             Bound::Memory { needed, half } => write!(
                 f,
                 "may take {} MiB, must be at most half of the machine's memory, which is {} MiB",
@@ -109,7 +110,8 @@
 impl std::error::Error for BadArgument {}
 
 impl Arguments {
-    /// Checks the arguments on a machine with that much memory, and makes the plan.
+    /// Checks the arguments on a machine with `machine_kib` of memory and returns the plan of the
+    /// run.
     pub fn plan(&self, machine_kib: u64) -> Result<Plan, BadArgument> {
         let form = if self.short { Form::Short } else { Form::Full };
         let (total, total_min, total_max, real) = match form {
@@ -118,17 +120,20 @@
         };
         let total = self.total.unwrap_or(total);
         let real = self.real.unwrap_or(real);
-        within("--total", total, total_min, Bound::AtMost(total_max), total_max)?;
-        within("--real", real, 1, Bound::AtMost(REAL_MAX), REAL_MAX)?;
-        within("--real", real, 1, Bound::Total(total), total)?;
+        check_bounds("--total", total, total_min, Bound::AtMost(total_max), total_max)?;
+        check_bounds("--real", real, 1, Bound::AtMost(REAL_MAX), REAL_MAX)?;
+        check_bounds("--real", real, 1, Bound::AtMostTotal(total), total)?;
         let (sizes, predicted) = match form {
             Form::Full => (vec![total * 50 / FULL_TOTAL, total * 200 / FULL_TOTAL, total], Some(total * 2)),
             Form::Short => (vec![total / 3, total], None),
         };
         let largest = predicted.unwrap_or(total) as u64;
-        let (needed, half) = (real as u64 * REAL_KIB + largest * HOLLOW_KIB + HOSTS_KIB, machine_kib / 2);
+        let (needed, half) = (
+            real as u64 * REAL_SIDECAR_KIB + largest * HOLLOW_SIDECAR_KIB + STAND_INS_KIB,
+            machine_kib / 2,
+        );
         if needed > half {
-            let (argument, value) = if real as u64 * REAL_KIB > largest * HOLLOW_KIB {
+            let (argument, value) = if real as u64 * REAL_SIDECAR_KIB > largest * HOLLOW_SIDECAR_KIB {
                 ("--real", real)
             } else {
                 ("--total", total)
@@ -139,16 +144,16 @@
     }
 }
 
-fn within(
+fn check_bounds(
     argument: &'static str,
     value: usize,
-    least: usize,
-    upper: Bound,
-    most: usize,
+    min: usize,
+    upper_bound: Bound,
+    max: usize,
 ) -> Result<(), BadArgument> {
     match value {
-        value if value < least => Err(BadArgument { argument, value, bound: Bound::AtLeast(least) }),
-        value if value > most => Err(BadArgument { argument, value, bound: upper }),
+        value if value < min => Err(BadArgument { argument, value, bound: Bound::AtLeast(min) }),
+        value if value > max => Err(BadArgument { argument, value, bound: upper_bound }),
         _ => Ok(()),
     }
 }
--- a/crates/lab/src/scale/configuration.rs
+++ b/crates/lab/src/scale/configuration.rs
@@ -1,14 +1,15 @@
-//! The configuration of one sidecar, real or hollow.
+//! The configuration of a real or hollow sidecar.
 
 use super::layout;
 use crate::live::program::{class, settings};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// The tenant's quota; each reload adds to it, so that there is something new to go by.
+/// The tenant's quota. Each reload increases it, so that the new configuration differs from the old
+/// one.
 const QUOTA_PER_SECOND: f64 = 10_000.0;
 
-/// The configuration of a sidecar that asks that discovery, after so many reloads.
+/// The configuration of a sidecar that polls `discovery`, after `reloads` reloads.
 pub(super) fn configuration(sidecar: usize, discovery: SocketAddr, reloads: u32) -> Value {
     let classes = json!([
         class("view", "read_like", 1.0, 500, 1500),
--- a/crates/lab/src/scale/control.rs
+++ b/crates/lab/src/scale/control.rs
@@ -1,5 +1,6 @@
-//! Orders to the hosts of stand-ins: a line of JSON each way, on a loopback connection. A host ends when its connection
-//! does, so none outlives the run, however that ends.
+//! The control protocol between the run and its stand-in processes: JSON lines in both directions
+//! on a loopback connection. A stand-in process exits when the connection ends, so none outlives
+//! the run, however the run ends.
 
 use super::error::ScaleError;
 use crate::rig::process::Process;
@@ -13,16 +14,16 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The longest order and the longest report.
+/// The longest order and the longest reply, in bytes.
 const LINE_LIMIT: u64 = 1 << 20;
-/// How long a host waits for its run to connect.
-const CONNECTS_WITHIN: Duration = Duration::from_secs(20);
-/// How long a host may take to listen, and to carry an order out.
-const ANSWERS_WITHIN: Duration = Duration::from_secs(20);
-/// What a host logs once it listens.
-const READY: &str = "takes orders";
+/// How long a stand-in process waits for the run to connect.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a stand-in process may take to start listening, and to carry out an order.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(20);
+/// The log message of a stand-in process that listens for orders.
+const LISTENING_MESSAGE: &str = "takes orders";
 
-/// What a host can be told, and what it answers.
+/// An order to a stand-in process, and the report with which the process replies.
 pub(super) trait Order: Serialize + DeserializeOwned {
     type Report: Serialize + DeserializeOwned;
 }
@@ -33,17 +34,20 @@
     Failed(String),
 }
 
-/// Carries orders out until the run's connection ends.
+/// Carries out orders until the connection to the run ends.
 pub(super) async fn serve<O: Order>(
-    mut carry_out: impl FnMut(O) -> Result<O::Report, String>,
+    mut execute: impl FnMut(O) -> Result<O::Report, String>,
 ) -> io::Result<()> {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
-    eprintln!("{}", serde_json::json!({ "message": READY, "listen": listener.get_ref().local_addr()? }));
-    let late = async {
-        Timer::after(CONNECTS_WITHIN).await;
+    eprintln!(
+        "{}",
+        serde_json::json!({ "message": LISTENING_MESSAGE, "listen": listener.get_ref().local_addr()? })
+    );
+    let timeout = async {
+        Timer::after(CONNECT_TIMEOUT).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    let (stream, _) = future::or(listener.accept(), late).await?;
+    let (stream, _) = future::or(listener.accept(), timeout).await?;
     drop(listener);
     let mut reader = futures_lite::io::BufReader::new(&stream);
     let mut writer = &stream;
@@ -55,9 +59,9 @@
             return Ok(());
         }
         let reply =
-            match serde_json::from_slice(&line).map_err(|why| why.to_string()).and_then(&mut carry_out) {
+            match serde_json::from_slice(&line).map_err(|error| error.to_string()).and_then(&mut execute) {
                 Ok(report) => Reply::Done(report),
-                Err(why) => Reply::Failed(why),
+                Err(reason) => Reply::Failed(reason),
             };
         let mut reply = serde_json::to_vec(&reply)?;
         reply.push(b'\n');
@@ -65,41 +69,44 @@
     }
 }
 
-/// A host that runs. Dropped, it is killed.
-pub(super) struct Host<O> {
+/// A running stand-in process. It is killed on drop.
+pub(super) struct StandInProcess<O> {
     name: String,
     process: Process,
     stream: BufReader<TcpStream>,
-    orders: PhantomData<O>,
+    order_type: PhantomData<O>,
 }
 
-impl<O: Order> Host<O> {
-    /// Starts this very executable as a host and connects to it.
-    pub(super) fn start(role: &str, name: String, state: &Path) -> Result<Host<O>, ScaleError> {
+impl<O: Order> StandInProcess<O> {
+    /// Starts this executable as a stand-in process and connects to it.
+    pub(super) fn start(role: &str, name: String, state: &Path) -> Result<StandInProcess<O>, ScaleError> {
         let process = Process::start(&std::env::current_exe()?, &["scale-host", role], state)?;
-        let line = process.wait_for(READY, ANSWERS_WITHIN)?;
+        let line = process.wait_for(LISTENING_MESSAGE, REPLY_TIMEOUT)?;
         let address = line["listen"].as_str().and_then(|listen| listen.parse::<SocketAddr>().ok());
         let Some(address) = address else {
-            return Err(ScaleError::Host { host: name, why: format!("no address in: {line}") });
+            return Err(ScaleError::Process {
+                process: name,
+                reason: format!("no listen address in log line: {line}"),
+            });
         };
-        let stream = TcpStream::connect_timeout(&address, ANSWERS_WITHIN)?;
+        let stream = TcpStream::connect_timeout(&address, REPLY_TIMEOUT)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(ANSWERS_WITHIN))?;
-        stream.set_write_timeout(Some(ANSWERS_WITHIN))?;
-        Ok(Host { name, process, stream: BufReader::new(stream), orders: PhantomData })
+        stream.set_read_timeout(Some(REPLY_TIMEOUT))?;
+        stream.set_write_timeout(Some(REPLY_TIMEOUT))?;
+        Ok(StandInProcess { name, process, stream: BufReader::new(stream), order_type: PhantomData })
     }
 
-    /// Its process id.
+    /// The process id.
     pub(super) fn id(&self) -> u32 {
         self.process.id()
     }
 
-    /// Has an order carried out.
+    /// Sends an order and waits for the report.
     pub(super) fn order(&mut self, order: &O) -> Result<O::Report, ScaleError> {
-        let reply = self.exchange(order).map_err(|why| self.failed(why.to_string()))?;
+        let reply = self.exchange(order).map_err(|error| self.error(error.to_string()))?;
         match reply {
             Reply::Done(report) => Ok(report),
-            Reply::Failed(why) => Err(self.failed(why)),
+            Reply::Failed(reason) => Err(self.error(reason)),
         }
     }
 
@@ -115,7 +122,7 @@
         Ok(serde_json::from_slice(&line)?)
     }
 
-    fn failed(&self, why: String) -> ScaleError {
-        ScaleError::Host { host: self.name.clone(), why }
+    fn error(&self, reason: String) -> ScaleError {
+        ScaleError::Process { process: self.name.clone(), reason }
     }
 }
--- a/crates/lab/src/scale/deployment.rs
+++ b/crates/lab/src/scale/deployment.rs
@@ -1,6 +1,6 @@
-//! All processes of one size, and what can be done to them.
+//! All processes of one size and the operations on them.
 
-use super::control::Host;
+use super::control::StandInProcess;
 use super::error::ScaleError;
 use super::host::discovery::{DiscoveryOrder, DiscoveryReport};
 use super::host::hollow::{HollowOrder, HollowReport, HollowSidecar};
@@ -16,80 +16,100 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Bytes between the regions come that much later, either way.
+/// The delay of bytes between the regions, in either direction.
 const LINK_DELAY: Duration = Duration::from_millis(20);
-/// Between two looks at who holds the newest list.
-const LOOK_AGAIN: Duration = Duration::from_millis(25);
-const ANSWERS_WITHIN: Duration = Duration::from_secs(5);
+/// The interval between two checks of which sidecars have the newest list.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 const ANSWER_LIMIT: u64 = 1 << 20;
-/// A new list is two changes for its callers: a line that goes and one that comes.
-const CHANGES_EACH: u64 = 2;
+/// A new list means two changes for discovery's clients: one line is removed and one added.
+const CHANGES_PER_LIST: u64 = 2;
 
-/// All processes of one size. Dropped, all are killed.
+/// All processes of one size. They are killed on drop.
 pub(super) struct Deployment {
     pub layout: Layout,
-    discoveries: Vec<Host<DiscoveryOrder>>,
-    link: Host<LinkOrder>,
-    hollow: Host<HollowOrder>,
+    discoveries: Vec<StandInProcess<DiscoveryOrder>>,
+    link: StandInProcess<LinkOrder>,
+    hollow: StandInProcess<HollowOrder>,
     real: RealSidecars,
-    near: Vec<SocketAddr>,
-    far: Vec<SocketAddr>,
+    near_addresses: Vec<SocketAddr>,
+    far_addresses: Vec<SocketAddr>,
     version: u64,
-    // Dropped after the processes.
-    _folder: TempDir,
+    // Fields are dropped in order, so this outlives the processes.
+    _directory: TempDir,
 }
 
 impl Deployment {
-    /// Starts the stand-ins; no sidecar runs yet.
+    /// Starts the stand-in processes, but no sidecar.
     pub(super) fn new(layout: Layout, interrupt: &Interrupt) -> Result<Deployment, ScaleError> {
-        let folder = tempfile::tempdir()?;
+        let directory = tempfile::tempdir()?;
         let mut discoveries = Vec::new();
         for number in 0..DISCOVERIES {
-            interrupt.pause(Duration::ZERO)?;
-            discoveries.push(Host::start("discovery", format!("discovery {number}"), folder.path())?);
+            interrupt.sleep(Duration::ZERO)?;
+            discoveries.push(StandInProcess::start(
+                "discovery",
+                format!("discovery {number}"),
+                directory.path(),
+            )?);
         }
-        let near = discoveries.iter_mut().map(|host| Ok(host.order(&DiscoveryOrder::Report)?.address));
-        let near = near.collect::<Result<Vec<_>, ScaleError>>()?;
-        let mut link: Host<LinkOrder> = Host::start("link", "region link".to_owned(), folder.path())?;
-        let far = link.order(&LinkOrder::LeadTo(near.clone()))?.addresses;
+        let near_addresses =
+            discoveries.iter_mut().map(|host| Ok(host.order(&DiscoveryOrder::Report)?.address));
+        let near_addresses = near_addresses.collect::<Result<Vec<_>, ScaleError>>()?;
+        let mut link: StandInProcess<LinkOrder> =
+            StandInProcess::start("link", "region link".to_owned(), directory.path())?;
+        let far_addresses = link.order(&LinkOrder::LeadTo(near_addresses.clone()))?.addresses;
         link.order(&LinkOrder::Pass { delay: LINK_DELAY })?;
-        let hollow = Host::start("hollow", "hollow sidecars".to_owned(), folder.path())?;
-        let asked: Vec<_> = (0..layout.real).map(|sidecar| address(&near, &far, sidecar)).collect();
-        let real = RealSidecars::new(folder.path(), &asked)?;
+        let hollow = StandInProcess::start("hollow", "hollow sidecars".to_owned(), directory.path())?;
+        let discovery_addresses: Vec<_> = (0..layout.real)
+            .map(|sidecar| discovery_address(&near_addresses, &far_addresses, sidecar))
+            .collect();
+        let real = RealSidecars::new(directory.path(), &discovery_addresses)?;
         let version = 0;
-        Ok(Deployment { layout, discoveries, link, hollow, real, near, far, version, _folder: folder })
+        Ok(Deployment {
+            layout,
+            discoveries,
+            link,
+            hollow,
+            real,
+            near_addresses,
+            far_addresses,
+            version,
+            _directory: directory,
+        })
     }
 
-    /// Starts sidecars at once.
-    pub(super) fn start(&mut self, who: &[usize], interrupt: &Interrupt) -> Result<(), ScaleError> {
-        let (real, hollow) = self.apart(who);
-        let sidecar =
-            |&index: &usize| HollowSidecar { index, discovery: address(&self.near, &self.far, index) };
+    /// Starts sidecars, all at once.
+    pub(super) fn start(&mut self, sidecars: &[usize], interrupt: &Interrupt) -> Result<(), ScaleError> {
+        let (real, hollow) = self.split_by_kind(sidecars);
+        let sidecar = |&index: &usize| HollowSidecar {
+            index,
+            discovery: discovery_address(&self.near_addresses, &self.far_addresses, index),
+        };
         let hollow = HollowOrder::Start(hollow.iter().map(sidecar).collect());
         self.hollow.order(&hollow)?;
         self.real.start(&real, interrupt)
     }
 
-    /// Ends sidecars at once, without a word from them.
-    pub(super) fn end(&mut self, who: &[usize]) -> Result<(), ScaleError> {
-        let (real, hollow) = self.apart(who);
+    /// Ends sidecars, all at once, without a graceful stop.
+    pub(super) fn end(&mut self, sidecars: &[usize]) -> Result<(), ScaleError> {
+        let (real, hollow) = self.split_by_kind(sidecars);
         self.hollow.order(&HollowOrder::End(hollow))?;
         Ok(self.real.kill(&real)?)
     }
 
-    fn apart(&self, who: &[usize]) -> (Vec<usize>, Vec<usize>) {
-        who.iter().partition(|&&sidecar| sidecar < self.layout.real)
+    fn split_by_kind(&self, sidecars: &[usize]) -> (Vec<usize>, Vec<usize>) {
+        sidecars.iter().partition(|&&sidecar| sidecar < self.layout.real)
     }
 
-    /// Puts a new list into all discoveries.
+    /// Publishes a new list at all discovery stand-ins.
     pub(super) fn publish(&mut self) -> Result<(), ScaleError> {
         self.version += 1;
         let order = DiscoveryOrder::Publish { version: self.version };
         self.discoveries.iter_mut().try_for_each(|host| host.order(&order).map(drop))
     }
 
-    /// Cuts the link between the regions, or heals it.
-    pub(super) fn cut(&mut self, cut: bool) -> Result<(), ScaleError> {
+    /// Cuts the link between the regions, or restores it.
+    pub(super) fn set_link_cut(&mut self, cut: bool) -> Result<(), ScaleError> {
         let order = if cut { LinkOrder::Cut } else { LinkOrder::Pass { delay: LINK_DELAY } };
         self.link.order(&order).map(drop)
     }
@@ -98,22 +118,23 @@
         self.discoveries.iter_mut().map(|host| host.order(&DiscoveryOrder::Report)).collect()
     }
 
-    /// Sidecars that hold the newest list, as they ask discovery.
+    /// The number of sidecars with the newest list, as their polls to discovery show.
     pub(super) fn up_to_date(&mut self) -> Result<u64, ScaleError> {
         Ok(self.reports()?.iter().map(|report| report.traffic.up_to_date).sum())
     }
 
-    /// Waits until so many sidecars hold the newest list, and of them so many hollow ones. A sidecar holds it once it
-    /// has asked a discovery for what is newer; a hollow one, once its target group has the newest line.
-    pub(super) fn until_held(
+    /// Waits until `sidecars` sidecars have the newest list and `hollow` hollow sidecars have it. A
+    /// sidecar counts once it has polled discovery for anything newer, a hollow sidecar once its
+    /// endpoint list contains the newest line.
+    pub(super) fn wait_until_up_to_date(
         &mut self,
         sidecars: usize,
         hollow: usize,
         limit: Duration,
         interrupt: &Interrupt,
     ) -> Result<(), ScaleError> {
-        let what = format!("{sidecars} sidecars, {hollow} of them hollow, hold the newest list");
-        interrupt.until(&what, limit, LOOK_AGAIN, || {
+        let condition = format!("{sidecars} sidecars, {hollow} of them hollow, have the newest list");
+        interrupt.wait_for(&condition, limit, POLL_INTERVAL, || {
             if self.up_to_date()? < sidecars as u64 {
                 return Ok(None);
             }
@@ -123,26 +144,26 @@
         })
     }
 
-    /// Waits until all sidecars hold the newest list.
-    pub(super) fn until_all_hold(
+    /// Waits until all sidecars have the newest list.
+    pub(super) fn wait_until_all_up_to_date(
         &mut self,
         limit: Duration,
         interrupt: &Interrupt,
     ) -> Result<(), ScaleError> {
-        self.until_held(self.layout.sidecars, self.layout.hollow().len(), limit, interrupt)
+        self.wait_until_up_to_date(self.layout.sidecars, self.layout.hollow().len(), limit, interrupt)
     }
 
-    /// One round of the operator on all real processes.
-    pub(super) fn operate(&mut self) -> Result<(), ScaleError> {
-        Ok(self.real.operate()?)
+    /// Runs one round of the operator's actions on all real processes.
+    pub(super) fn run_operator_round(&mut self) -> Result<(), ScaleError> {
+        Ok(self.real.run_operator_round()?)
     }
 
-    /// What the consoles of the real processes tell.
+    /// The console figures of the real processes.
     pub(super) fn console_figures(&mut self) -> Result<Vec<ConsoleFigures>, ScaleError> {
-        Ok(self.real.figures()?)
+        Ok(self.real.console_figures()?)
     }
 
-    /// Measures all processes now.
+    /// Samples all processes now.
     pub(super) fn sample(&mut self) -> Result<Sample, ScaleError> {
         let traffic: Vec<_> = self.reports()?.iter().map(|report| report.traffic).collect();
         let link_traffic = self.link.order(&LinkOrder::Report)?.traffic;
@@ -159,23 +180,24 @@
         })
     }
 
-    /// Asks the first discovery as a sidecar does, and tells the lengths of its answers. The calls count in its traffic.
+    /// Polls the first discovery stand-in as a sidecar does and returns the lengths of its answers.
+    /// These polls count in its traffic.
     pub(super) fn answer_lengths(&mut self) -> Result<AnswerLengths, ScaleError> {
         let DiscoveryReport { address, generation, .. } =
             self.discoveries[0].order(&DiscoveryOrder::Report)?;
-        let before = generation.saturating_sub(CHANGES_EACH);
+        let previous = generation.saturating_sub(CHANGES_PER_LIST);
         Ok(AnswerLengths {
             whole: answer_length(address, "")?,
-            change: answer_length(address, &format!("?from={before}"))?,
+            change: answer_length(address, &format!("?from={previous}"))?,
             quiet: answer_length(address, &format!("?from={generation}"))?,
         })
     }
 }
 
-/// The length of a discovery's answer to a call that does not wait, its head included.
+/// The length of discovery's answer, including the head, to a poll that does not wait.
 fn answer_length(address: SocketAddr, query: &str) -> io::Result<u64> {
-    let mut stream = TcpStream::connect_timeout(&address, ANSWERS_WITHIN)?;
-    stream.set_read_timeout(Some(ANSWERS_WITHIN))?;
+    let mut stream = TcpStream::connect_timeout(&address, ANSWER_TIMEOUT)?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
     write!(stream, "GET /registry/instances{query} HTTP/1.1\r\nHost: {address}\r\n\r\n")?;
     stream.shutdown(Shutdown::Write)?;
     let mut answer = Vec::new();
@@ -183,10 +205,14 @@
     Ok(answer.len() as u64)
 }
 
-/// Where a sidecar asks: a discovery, or the relay in front of it.
-fn address(near: &[SocketAddr], far: &[SocketAddr], sidecar: usize) -> SocketAddr {
+/// The address that a sidecar polls: a discovery stand-in, or the relay in front of it.
+fn discovery_address(
+    near_addresses: &[SocketAddr],
+    far_addresses: &[SocketAddr],
+    sidecar: usize,
+) -> SocketAddr {
     match region(sidecar) {
-        Region::Near => near[discovery(sidecar)],
-        Region::Far => far[discovery(sidecar)],
+        Region::Near => near_addresses[discovery(sidecar)],
+        Region::Far => far_addresses[discovery(sidecar)],
     }
 }
--- a/crates/lab/src/scale/error.rs
+++ b/crates/lab/src/scale/error.rs
@@ -1,34 +1,34 @@
-//! Why a run ends without its figures.
+//! The error of a scale run.
 
 use super::arguments::BadArgument;
 use std::fmt;
 use std::io;
 use std::time::Duration;
 
-/// Why a run ends without its figures.
+/// The reason why a run ends without figures.
 #[derive(Debug)]
 pub enum ScaleError {
-    /// An argument is out of its bounds.
+    /// An argument is out of bounds.
     Argument(BadArgument),
-    /// SIGINT or SIGTERM came.
+    /// The run received SIGINT or SIGTERM.
     Interrupted,
-    /// The system refused something.
+    /// A system call failed.
     Io(io::Error),
-    /// A host of stand-ins has failed.
-    Host {
-        /// Which.
-        host: String,
-        /// How.
-        why: String,
+    /// A stand-in process or a sidecar failed.
+    Process {
+        /// The process.
+        process: String,
+        /// The reason.
+        reason: String,
     },
-    /// Something did not come about.
-    NotInTime {
-        /// What.
-        what: String,
-        /// Within that.
+    /// A condition was not met in time.
+    Timeout {
+        /// The condition.
+        condition: String,
+        /// The time limit.
         limit: Duration,
     },
-    /// What the short form checks does not hold.
+    /// A check of the short form failed.
     Check(String),
 }
 
@@ -36,11 +36,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ScaleError::Argument(bad) => bad.fmt(f),
-            ScaleError::Interrupted => f.write_str("interrupted, all that was started has ended"),
-            ScaleError::Io(why) => why.fmt(f),
-            ScaleError::Host { host, why } => write!(f, "{host}: {why}"),
-            ScaleError::NotInTime { what, limit } => write!(f, "not within {limit:?}: {what}"),
-            ScaleError::Check(what) => write!(f, "check failed: {what}"),
+            ScaleError::Interrupted => f.write_str("interrupted; all started processes have ended"),
+            ScaleError::Io(error) => error.fmt(f),
+            ScaleError::Process { process, reason } => write!(f, "{process}: {reason}"),
+            ScaleError::Timeout { condition, limit } => write!(f, "timed out after {limit:?}: {condition}"),
+            ScaleError::Check(failure) => write!(f, "check failed: {failure}"),
         }
     }
 }
@@ -54,7 +54,7 @@
 }
 
 impl From<io::Error> for ScaleError {
-    fn from(why: io::Error) -> ScaleError {
-        ScaleError::Io(why)
+    fn from(error: io::Error) -> ScaleError {
+        ScaleError::Io(error)
     }
 }
--- a/crates/lab/src/scale/fit.rs
+++ b/crates/lab/src/scale/fit.rs
@@ -1,26 +1,27 @@
-//! A line through measured points by least squares.
+//! Least-squares fits of a line through measured points.
 
 use serde::Serialize;
 
 /// The line `intercept + slope * x`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fit {
-    /// What one more of `x` adds.
+    /// The increase of the value per unit of `x`.
     pub slope: f64,
-    /// The value at none.
+    /// The value at `x = 0`.
     pub intercept: f64,
-    /// The root of the mean squared distance of the points from the line, in the figure's unit.
+    /// The root mean square distance of the points from the line, in the unit of the value.
     pub residual: f64,
 }
 
 impl Fit {
-    /// The value at `x`.
+    /// The value of the line at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 }
 
-/// The line through points `(x, y)`; `None` for fewer than two different `x`, or for one that is not finite.
+/// Fits a line through points `(x, y)`. Returns `None` if fewer than two values of `x` differ or a
+/// value is not finite.
 pub fn least_squares(points: &[(f64, f64)]) -> Option<Fit> {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -36,7 +37,8 @@
     Some(Fit { residual: (squares / count).sqrt(), ..line })
 }
 
-/// By how much a prediction is off, in percent of what was measured; `None` where nothing was measured.
+/// The error of a prediction in percent of the measured value, or `None` if the measured value is
+/// 0.
 pub fn error_percent(predicted: f64, measured: f64) -> Option<f64> {
     (measured != 0.0).then(|| 100.0 * (predicted - measured) / measured)
 }
--- a/crates/lab/src/scale/host/discovery.rs
+++ b/crates/lab/src/scale/host/discovery.rs
@@ -1,4 +1,4 @@
-//! One stand-in discovery with the list of one service.
+//! A discovery stand-in with the list of one service.
 
 use crate::live::Executor;
 use crate::live::discovery::{Discovery, Line, Traffic};
@@ -8,29 +8,29 @@
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// The port of all that is listed: nothing is ever sent there.
-const DISCARD: u16 = 9;
+/// The port of all listed endpoints. Nothing is ever sent there.
+const DISCARD_PORT: u16 = 9;
 
-/// What a discovery can be told.
+/// An order to a discovery stand-in.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::scale) enum DiscoveryOrder {
-    /// The list's last line goes, another one comes.
+    /// Replaces the last line of the list by a new one.
     Publish {
-        /// The new line's number: one more than that of the last.
+        /// The new line's number, one more than that of the line that it replaces.
         version: u64,
     },
-    /// Nothing new; a report is wanted.
+    /// Changes nothing; requests a report.
     Report,
 }
 
-/// How a discovery stands.
+/// The state of a discovery stand-in.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::scale) struct DiscoveryReport {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// The newest version, as its callers are told it.
+    /// The newest version of the list, as its clients see it.
     pub generation: u64,
-    /// What has passed.
+    /// Its traffic so far.
     pub traffic: Traffic,
 }
 
@@ -38,16 +38,16 @@
     type Report = DiscoveryReport;
 }
 
-/// The name of the line that stands in one version of the list alone.
+/// The name of the line that exists in this version of the list only.
 pub(in crate::scale) fn newest_line(version: u64) -> String {
     format!("service-1-newest-{version:04}")
 }
 
-fn line(place: usize, instance_id: String, lifecycle: &'static str) -> Line {
+fn line(index: usize, instance_id: String, lifecycle: &'static str) -> Line {
     Line {
         instance_id,
-        host_port: SocketAddr::from((Ipv4Addr::LOCALHOST, DISCARD)),
-        zone: zone_names().swap_remove(zone(place)),
+        host_port: SocketAddr::from((Ipv4Addr::LOCALHOST, DISCARD_PORT)),
+        zone: zone_names().swap_remove(zone(index)),
         machine_type: "plain".to_owned(),
         cell: 0,
         lifecycle,
@@ -56,17 +56,17 @@
 }
 
 fn publish(discovery: &Discovery, version: u64) {
-    let place = LIST_LINES - 1;
+    let index = LIST_LINES - 1;
     if let Some(last) = version.checked_sub(1) {
-        discovery.list(line(place, newest_line(last), "left"));
+        discovery.list(line(index, newest_line(last), "left"));
     }
-    discovery.list(line(place, newest_line(version), "active"));
+    discovery.list(line(index, newest_line(version), "active"));
 }
 
 pub(super) async fn serve(executor: &Executor) -> io::Result<()> {
     let discovery = Discovery::start(executor)?;
-    for place in 0..LIST_LINES - 1 {
-        discovery.list(line(place, format!("service-1-endpoint-{place:03}"), "active"));
+    for index in 0..LIST_LINES - 1 {
+        discovery.list(line(index, format!("service-1-endpoint-{index:03}"), "active"));
     }
     publish(&discovery, 0);
     let address = discovery.address;
--- a/crates/lab/src/scale/host/hollow.rs
+++ b/crates/lab/src/scale/host/hollow.rs
@@ -1,5 +1,5 @@
-//! Hollow sidecars, many in one process: the program's own follower of the list and its decision machine, put together
-//! as `cottonpoint serve` does, without clients, console, metrics and request traffic.
+//! Hollow sidecars, many in one process: the program's own discovery watcher and balancer,
+//! assembled as in `cottonpoint serve`, but without clients, console, metrics and request traffic.
 
 use super::discovery::newest_line;
 use crate::live::Executor;
@@ -18,35 +18,35 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// One hollow sidecar.
+/// A hollow sidecar.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::scale) struct HollowSidecar {
     /// Its index among all sidecars.
     pub index: usize,
-    /// The discovery that it asks, or the relay in front of it.
+    /// The address of the discovery stand-in that it polls, or of the relay in front of it.
     pub discovery: SocketAddr,
 }
 
-/// What a host of hollow sidecars can be told.
+/// An order to the host of hollow sidecars.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(in crate::scale) enum HollowOrder {
-    /// Start these; one that runs is ended first.
+    /// Starts these sidecars. One that is running is ended first.
     Start(Vec<HollowSidecar>),
-    /// End these, by their index, with their connections.
+    /// Ends the sidecars with these indices and closes their connections.
     End(Vec<usize>),
-    /// Nothing new; a report is wanted.
+    /// Changes nothing; requests a report.
     Report {
-        /// The version of the list that is the newest.
+        /// The newest version of the list.
         version: u64,
     },
 }
 
-/// How the hollow sidecars stand.
+/// The state of the hollow sidecars.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub(in crate::scale) struct HollowReport {
-    /// How many run.
+    /// The number of running sidecars.
     pub running: usize,
-    /// Of them, those that hold the version asked about.
+    /// The number of running sidecars that have the requested version of the list.
     pub up_to_date: usize,
 }
 
@@ -54,32 +54,33 @@
     type Report = HollowReport;
 }
 
-struct Running {
+struct RunningSidecar {
     sidecar: Rc<Sidecar>,
-    /// Held so that the follower can be told of a move for as long as it lives.
-    _moves: Sender<DiscoveryAddress>,
-    _follower: Task<()>,
+    /// Kept open because the watcher receives changes of the discovery address on this channel as
+    /// long as it runs.
+    _change_sender: Sender<DiscoveryAddress>,
+    _watcher: Task<()>,
 }
 
-struct Hollow {
+struct HollowHost {
     executor: Executor,
-    running: BTreeMap<usize, Running>,
+    running: BTreeMap<usize, RunningSidecar>,
 }
 
-impl Hollow {
+impl HollowHost {
     fn start(&mut self, HollowSidecar { index, discovery }: HollowSidecar) -> Result<(), String> {
         self.running.remove(&index);
         let text = configuration(index, discovery, 0).to_string();
-        let config = Config::parse(&text, |_| None).map_err(|bad| bad.to_string())?;
+        let config = Config::parse(&text, |_| None).map_err(|error| error.to_string())?;
         let platform = &config.platform;
         let names = NameTable { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
-        let (sidecar, asked) =
+        let (sidecar, subscriptions) =
             Sidecar::new(platform.balancer.clone(), config.seed, Clock::start(), self.executor.clone());
-        let servers = EndpointConnections::new(terms(&config), self.executor.clone());
-        // The balancer comes to life with its first event.
+        let servers = EndpointConnections::new(pool_settings(&config), self.executor.clone());
+        // The balancer starts with its first event.
         sidecar.apply_list(ListKind::Full, &[]);
-        let (moves, discovery_changes) = async_channel::bounded(1);
-        let follower = Watcher {
+        let (change_sender, discovery_changes) = async_channel::bounded(1);
+        let watcher = Watcher {
             sidecar: sidecar.clone(),
             servers,
             discovery: DiscoveryAddress { address: config.discovery, pushed: false },
@@ -88,8 +89,9 @@
             discovery_changes,
             random: fastrand::Rng::with_seed(config.seed),
         };
-        let follower = self.executor.spawn(follower.run(asked));
-        self.running.insert(index, Running { sidecar, _moves: moves, _follower: follower });
+        let watcher = self.executor.spawn(watcher.run(subscriptions));
+        self.running
+            .insert(index, RunningSidecar { sidecar, _change_sender: change_sender, _watcher: watcher });
         Ok(())
     }
 
@@ -99,7 +101,7 @@
         HollowReport { running: self.running.len(), up_to_date }
     }
 
-    fn carry_out(&mut self, order: HollowOrder) -> Result<HollowReport, String> {
+    fn execute(&mut self, order: HollowOrder) -> Result<HollowReport, String> {
         match order {
             HollowOrder::Start(sidecars) => {
                 sidecars.into_iter().try_for_each(|sidecar| self.start(sidecar))?;
@@ -114,7 +116,7 @@
     }
 }
 
-fn terms(config: &Config) -> PoolSettings {
+fn pool_settings(config: &Config) -> PoolSettings {
     PoolSettings {
         connect_timeout: config.platform.connect_timeout,
         idle_timeout: config.platform.conn_idle,
@@ -125,6 +127,6 @@
 }
 
 pub(super) async fn serve(executor: &Executor) -> io::Result<()> {
-    let mut hollow = Hollow { executor: executor.clone(), running: BTreeMap::new() };
-    control::serve(|order| hollow.carry_out(order)).await
+    let mut host = HollowHost { executor: executor.clone(), running: BTreeMap::new() };
+    control::serve(|order| host.execute(order)).await
 }
--- a/crates/lab/src/scale/host/link.rs
+++ b/crates/lab/src/scale/host/link.rs
@@ -1,4 +1,4 @@
-//! The link between the regions: a relay in front of each discovery.
+//! The link between the regions: a relay in front of each discovery stand-in.
 
 use crate::rig::stream::{StreamCounts, StreamFaults, StreamRelays};
 use crate::scale::control::{self, Order};
@@ -8,41 +8,41 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the link can be told.
+/// An order to the link.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(in crate::scale) enum LinkOrder {
-    /// Where the relays lead to, one for each discovery.
+    /// Sets the endpoint of each relay, one for each discovery stand-in.
     LeadTo(Vec<SocketAddr>),
-    /// Bytes pass, so much later.
+    /// Lets bytes pass with a delay.
     Pass {
-        /// How much later, either way.
+        /// The delay in either direction.
         delay: Duration,
     },
-    /// Bytes stop on the way, in both directions, until they pass again.
+    /// Holds bytes in both directions until they may pass again.
     Cut,
-    /// Nothing new; a report is wanted.
+    /// Changes nothing; requests a report.
     Report,
 }
 
-/// How the link stands.
+/// The state of the link.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(in crate::scale) struct LinkReport {
-    /// Where its relays listen, one for each discovery.
+    /// The addresses at which its relays listen, one for each discovery stand-in.
     pub addresses: Vec<SocketAddr>,
-    /// What has passed since the start.
+    /// The traffic since the start.
     pub traffic: LinkTraffic,
 }
 
-/// What has passed through the link.
+/// The traffic through the link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkTraffic {
-    /// Connections taken.
+    /// Connections accepted.
     pub connections: u64,
-    /// Of them, reset.
+    /// Connections that were reset.
     pub reset: u64,
-    /// Bytes to the discoveries.
+    /// Bytes forwarded to the discovery stand-ins.
     pub bytes_there: u64,
-    /// Bytes from the discoveries.
+    /// Bytes forwarded from the discovery stand-ins.
     pub bytes_back: u64,
 }
 
@@ -67,7 +67,8 @@
 }
 
 pub(super) async fn serve() -> io::Result<()> {
-    // One set of relays for each discovery: each has room for connections of its own.
+    // Each discovery stand-in has relays of its own, because the limit on connections applies to
+    // one set of relays.
     let relays = (0..DISCOVERIES).map(|_| StreamRelays::start(1)).collect::<io::Result<Vec<_>>>()?;
     control::serve(|order| {
         match order {
--- a/crates/lab/src/scale/host/mod.rs
+++ b/crates/lab/src/scale/host/mod.rs
@@ -1,4 +1,5 @@
-//! The processes of stand-ins that a run starts, each a role of its own so that its processor time can be told.
+//! The stand-in processes of a run. Each plays one role, so that the role's processor time can be
+//! measured.
 
 pub(super) mod discovery;
 pub(super) mod hollow;
@@ -11,10 +12,10 @@
 use std::rc::Rc;
 use std::str::FromStr;
 
-/// What a process hosts.
+/// What a stand-in process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostRole {
-    /// One stand-in discovery.
+    /// One discovery stand-in.
     Discovery,
     /// The link between the regions.
     Link,
@@ -30,12 +31,12 @@
             "discovery" => Ok(HostRole::Discovery),
             "link" => Ok(HostRole::Link),
             "hollow" => Ok(HostRole::Hollow),
-            other => Err(format!("discovery, link or hollow, not {other}")),
+            other => Err(format!("must be discovery, link or hollow, not {other}")),
         }
     }
 }
 
-/// Hosts until the run's connection ends.
+/// Runs a stand-in until the connection to the run ends.
 pub fn run(role: HostRole) -> io::Result<()> {
     let executor: Executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(async {
@@ -47,7 +48,7 @@
     }))
 }
 
-/// From now on this process is killed when the one that started it ends, however that ends.
+/// Has this process killed when its parent process ends, however that ends.
 pub fn end_with_parent() -> io::Result<()> {
     Ok(set_parent_process_death_signal(Some(Signal::KILL))?)
 }
--- a/crates/lab/src/scale/interrupt.rs
+++ b/crates/lab/src/scale/interrupt.rs
@@ -1,4 +1,5 @@
-//! SIGINT and SIGTERM, as a word that ends every wait: what was started is then dropped, and so ended.
+//! Turns SIGINT and SIGTERM into a flag that ends every wait. The run then returns an error, and
+//! dropping its values ends everything that it has started.
 
 use super::error::ScaleError;
 use async_signal::{Signal, Signals};
@@ -10,72 +11,75 @@
 
 #[derive(Default)]
 struct State {
-    told: Mutex<bool>,
-    news: Condvar,
+    received: Mutex<bool>,
+    changed: Condvar,
 }
 
 impl State {
-    fn told(&self) -> MutexGuard<'_, bool> {
-        self.told.lock().unwrap_or_else(PoisonError::into_inner)
+    fn received(&self) -> MutexGuard<'_, bool> {
+        self.received.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Whether the run was told to end.
+/// Whether the run has received SIGINT or SIGTERM.
 pub(super) struct Interrupt(Arc<State>);
 
 impl Interrupt {
-    /// Takes the signals from now on.
+    /// Handles the signals from now on.
     pub(super) fn watch() -> io::Result<Interrupt> {
         let mut signals = Signals::new([Signal::Int, Signal::Term])?;
         let state = Arc::new(State::default());
-        let own = state.clone();
+        let thread_state = state.clone();
         thread::Builder::new().name("signals".to_owned()).spawn(move || {
             if async_io::block_on(signals.next()).is_some() {
-                *own.told() = true;
-                own.news.notify_all();
+                *thread_state.received() = true;
+                thread_state.changed.notify_all();
             }
-            // Held for good: a second signal is not to end the process before what it started.
+            // The handlers stay installed, so that a second signal does not end this process before
+            // those that it has started.
             async_io::block_on(async { while signals.next().await.is_some() {} });
         })?;
         Ok(Interrupt(state))
     }
 
-    /// Whether a signal has come.
+    /// Whether a signal has been received.
     pub(super) fn is_set(&self) -> bool {
-        *self.0.told()
+        *self.0.received()
     }
 
-    /// Waits; fails as soon as a signal comes.
-    pub(super) fn pause(&self, length: Duration) -> Result<(), ScaleError> {
-        let until = Instant::now() + length;
-        let mut told = self.0.told();
-        while !*told {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+    /// Sleeps for `length`. Fails as soon as a signal is received.
+    pub(super) fn sleep(&self, length: Duration) -> Result<(), ScaleError> {
+        let deadline = Instant::now() + length;
+        let mut received = self.0.received();
+        while !*received {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Ok(());
             }
-            told = self.0.news.wait_timeout(told, left).unwrap_or_else(PoisonError::into_inner).0;
+            received =
+                self.0.changed.wait_timeout(received, remaining).unwrap_or_else(PoisonError::into_inner).0;
         }
         Err(ScaleError::Interrupted)
     }
 
-    /// Waits until `found` finds something, asking again and again. Fails after `limit`, or when a signal comes.
-    pub(super) fn until<T>(
+    /// Calls `found` at the given interval until it returns a value. Fails after `limit`, or when a
+    /// signal is received.
+    pub(super) fn wait_for<T>(
         &self,
-        what: &str,
+        condition: &str,
         limit: Duration,
-        again: Duration,
+        interval: Duration,
         mut found: impl FnMut() -> Result<Option<T>, ScaleError>,
     ) -> Result<T, ScaleError> {
-        let until = Instant::now() + limit;
+        let deadline = Instant::now() + limit;
         loop {
             if let Some(found) = found()? {
                 return Ok(found);
             }
-            if Instant::now() > until {
-                return Err(ScaleError::NotInTime { what: what.to_owned(), limit });
+            if Instant::now() > deadline {
+                return Err(ScaleError::Timeout { condition: condition.to_owned(), limit });
             }
-            self.pause(again)?;
+            self.sleep(interval)?;
         }
     }
 }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,9 +1,9 @@
-//! The scale run: what control costs each role at several numbers of sidecars, in calm and in four failures. See
-//! `docs/scale.md`.
+//! The scale run measures what control traffic and resources cost each role at several numbers of
+//! sidecars, without events and under four kinds of failure. See `docs/scale.md`.
 //!
-//! A few real processes of the program run beside hollow sidecars (the list's follower and the decision machine,
-//! many in one process, without request traffic). Five stand-in discoveries serve all of them; the second region
-//! reaches those through a relay that can be cut.
+//! A few real processes of the program run beside hollow sidecars, which consist of the discovery
+//! watcher and the balancer without request traffic and share one process. Five discovery stand-ins
+//! serve all sidecars. The second region reaches them through a relay that can be cut.
 
 pub mod arguments;
 pub mod checks;
@@ -29,13 +29,15 @@
 use phases::{Phase, PhaseRecord};
 use report::{Report, SizeRecord};
 
-/// Carries the run out, writes its figures and chart, and prints a summary. Fails on wrong arguments, on a check that
-/// does not hold, and when told to end; all that it has started is gone by then.
+/// Runs the measurement, writes its figures and chart, and prints a summary. Fails on arguments out
+/// of bounds, on a check that fails, and on SIGINT or SIGTERM. By then, every process that it
+/// started has ended.
 pub fn run(arguments: &Arguments) -> Result<(), ScaleError> {
     let plan = arguments.plan(procfs::total_memory_kib()?)?;
     let interrupt = Interrupt::watch()?;
-    let report = match measured(&plan, &interrupt) {
-        // What else failed did so because all processes of a terminal are told to end together.
+    let report = match run_all_sizes(&plan, &interrupt) {
+        // Other errors are a consequence: a signal from the terminal reaches all processes of the
+        // run.
         Err(_) if interrupt.is_set() => return Err(ScaleError::Interrupted),
         report => report?,
     };
@@ -44,21 +46,21 @@
     Ok(())
 }
 
-fn measured(plan: &Plan, interrupt: &Interrupt) -> Result<Report, ScaleError> {
+fn run_all_sizes(plan: &Plan, interrupt: &Interrupt) -> Result<Report, ScaleError> {
     let mut sizes = Vec::new();
     for &sidecars in &plan.sizes {
         let phases = match plan.form {
-            Form::Full => &Phase::ALL[..],
-            Form::Short => &Phase::WITHOUT_CLOCKS[..],
+            Form::Full => &Phase::FULL_FORM[..],
+            Form::Short => &Phase::SHORT_FORM[..],
         };
-        sizes.push(one_size(plan, sidecars, phases, interrupt)?);
+        sizes.push(run_size(plan, sidecars, phases, interrupt)?);
     }
-    let beyond = plan.predicted.map(|sidecars| one_size(plan, sidecars, &[Phase::Calm], interrupt));
-    Ok(Report::new(plan, sizes, beyond.transpose()?))
+    let predicted_size = plan.predicted.map(|sidecars| run_size(plan, sidecars, &[Phase::Calm], interrupt));
+    Ok(Report::new(plan, sizes, predicted_size.transpose()?))
 }
 
-/// Plays phases on a deployment of its own.
-fn one_size(
+/// Runs phases on a deployment of its own.
+fn run_size(
     plan: &Plan,
     sidecars: usize,
     phases: &[Phase],
@@ -68,10 +70,10 @@
     eprintln!("{sidecars} sidecars, {} of them real processes", layout.real);
     let load_before = procfs::load_average()?;
     let mut deployment = Deployment::new(layout, interrupt)?;
-    let started = phases::start(&mut deployment, interrupt)?;
+    let held_after_start_seconds = phases::start(&mut deployment, interrupt)?;
     let mut records: Vec<PhaseRecord> = Vec::new();
     for &phase in phases {
-        let record = phases::play(phase, plan.form, &mut deployment, interrupt)?;
+        let record = phases::run(phase, plan.form, &mut deployment, interrupt)?;
         if plan.form == Form::Short {
             checks::check(&record, &layout)?;
         }
@@ -81,5 +83,5 @@
     if plan.form == Form::Short {
         checks::check_reloads(&phases::reload(&mut deployment, interrupt)?, layout.real)?;
     }
-    Ok(SizeRecord::new(&layout, load_before, procfs::load_average()?, started, records))
+    Ok(SizeRecord::new(&layout, load_before, procfs::load_average()?, held_after_start_seconds, records))
 }
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -1,9 +1,9 @@
-//! What a run writes and prints: one JSON file, one chart, a summary.
+//! The results of a run: a JSON file, a chart and a printed summary.
 
 use super::arguments::{Form, Plan};
 use super::error::ScaleError;
 use super::fit::{Fit, error_percent, least_squares};
-use super::layout::{DISCOVERIES, LIST_LINES, Layout, RACK};
+use super::layout::{DISCOVERIES, LIST_LINES, Layout, RACK_SIZE};
 use super::phases::{Phase, PhaseRecord};
 use super::sample::{Figure, Figures, Role};
 use crate::report::{self, Line, markdown};
@@ -13,25 +13,25 @@
 use std::path::Path;
 use std::thread;
 
-/// One size and what was measured at it.
+/// A size and its measurements.
 #[derive(Clone, Debug, Serialize)]
 pub struct SizeRecord {
-    /// Sidecars in all.
+    /// The number of sidecars.
     pub sidecars: usize,
-    /// Of them, real processes.
+    /// The number of real processes among them.
     pub real: usize,
-    /// Of them, hollow ones.
+    /// The number of hollow sidecars among them.
     pub hollow: usize,
-    /// The machine's load over a minute, before and after.
+    /// The machine's load average over a minute, before and after.
     pub load: [f64; 2],
-    /// From the start of all sidecars until all held the list.
+    /// The time from the start of all sidecars until all of them had the list.
     pub held_after_start_seconds: f64,
-    /// The phases, in their order.
+    /// The phases, in order.
     pub phases: Vec<PhaseRecord>,
 }
 
 impl SizeRecord {
-    /// One size's record.
+    /// Creates the record of a size.
     pub fn new(
         layout: &Layout,
         load_before: f64,
@@ -54,7 +54,7 @@
         record.measured.roles.iter().find(|figures| figures.role == role)
     }
 
-    /// What a role's figures grow with.
+    /// The number with which a role's figures grow.
     fn count_for(&self, role: Role) -> f64 {
         match role {
             Role::HollowHost => self.hollow as f64,
@@ -63,74 +63,76 @@
     }
 }
 
-/// A line through one figure of a role in a phase, over all measured sizes.
+/// A line fitted through one figure of a role in a phase, over all measured sizes.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct FittedFigure {
-    /// Of which role.
+    /// The role.
     pub role: Role,
-    /// In which phase.
+    /// The phase.
     pub phase: Phase,
-    /// Which figure.
+    /// The figure.
     pub figure: Figure,
-    /// Over `sidecars`; for the host of hollow ones over `hollow`.
+    /// The line over the number of sidecars; for the host of hollow sidecars, over the number of
+    /// hollow ones.
     pub fit: Fit,
 }
 
-/// A prediction beside what was measured.
+/// A predicted figure and its measured value.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Predicted {
-    /// Of which role.
+    /// The role.
     pub role: Role,
-    /// Which figure.
+    /// The figure.
     pub figure: Figure,
-    /// By the lines of the calm phase.
+    /// The value predicted by the lines of the calm phase.
     pub predicted: f64,
-    /// At that size.
+    /// The value measured at the predicted size.
     pub measured: f64,
-    /// How far off, in percent of the measured; none where that is 0.
+    /// The error in percent of the measured value; none if that value is 0.
     pub error_percent: Option<f64>,
 }
 
-/// The size that was not fitted.
+/// The prediction for a size that is not part of the fits.
 #[derive(Clone, Debug, Serialize)]
 pub struct Prediction {
-    /// What was measured there, at calm.
+    /// The measurements at that size, in the calm phase.
     pub size: SizeRecord,
-    /// Each figure.
+    /// The predicted figures.
     pub figures: Vec<Predicted>,
 }
 
-/// All of a run.
+/// All results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// `full` or `short`.
     pub form: &'static str,
-    /// Cores of the machine.
+    /// The number of cores of the machine.
     pub cores: usize,
-    /// Discovery processes.
+    /// The number of discovery stand-ins.
     pub discoveries: usize,
-    /// Lines of the list.
+    /// The number of lines in the list.
     pub list_lines: usize,
-    /// Sidecars of a rack.
+    /// The number of sidecars in a rack.
     pub rack: usize,
-    /// Membership among sidecars.
+    /// Whether the cost of the fleet protocol among sidecars was measured.
     pub peers: &'static str,
     /// The measured sizes.
     pub sizes: Vec<SizeRecord>,
-    /// Lines over them; none in the short form.
+    /// The lines fitted over the sizes; none in the short form.
     pub fits: Vec<FittedFigure>,
-    /// The size that was not fitted; none in the short form.
+    /// The prediction for a further size; none in the short form.
     pub prediction: Option<Prediction>,
 }
 
 impl Report {
-    /// Fits and compares.
-    pub fn new(plan: &Plan, sizes: Vec<SizeRecord>, beyond: Option<SizeRecord>) -> Report {
+    /// Fits lines through the measured sizes and compares their prediction with the size
+    /// `predicted_size`.
+    pub fn new(plan: &Plan, sizes: Vec<SizeRecord>, predicted_size: Option<SizeRecord>) -> Report {
         let fits = match plan.form {
-            Form::Full => fitted(&sizes),
+            Form::Full => fit_all(&sizes),
             Form::Short => Vec::new(),
         };
-        let prediction = beyond.map(|size| Prediction { figures: predicted(&fits, &size), size });
+        let prediction = predicted_size.map(|size| Prediction { figures: predict(&fits, &size), size });
         Report {
             form: match plan.form {
                 Form::Full => "full",
@@ -139,7 +141,7 @@
             cores: thread::available_parallelism().map_or(0, usize::from),
             discoveries: DISCOVERIES,
             list_lines: LIST_LINES,
-            rack: RACK,
+            rack: RACK_SIZE,
             peers: "not measured",
             sizes,
             fits,
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Writes `scale.json`, and `scale.svg` where there is something to draw.
+    /// Writes `scale.json`, and `scale.svg` if there is something to draw.
     pub fn write(&self, folder: &Path) -> Result<(), ScaleError> {
         fs::create_dir_all(folder)?;
         let json = serde_json::to_vec_pretty(self).map_err(io::Error::from)?;
@@ -158,13 +160,13 @@
         Ok(())
     }
 
-    /// Processor time of each role at calm and when all restart.
+    /// A chart of the processor time of each role in the calm phase and when all sidecars restart.
     fn chart(&self) -> String {
         let mut lines: Vec<Line> = Vec::new();
         for role in Role::ALL {
             for phase in [Phase::Calm, Phase::AllRestart] {
-                let beyond = self.prediction.iter().map(|prediction| &prediction.size);
-                let sizes = self.sizes.iter().chain(beyond);
+                let predicted_size = self.prediction.iter().map(|prediction| &prediction.size);
+                let sizes = self.sizes.iter().chain(predicted_size);
                 let point = |size: &SizeRecord| {
                     let figures = size.figures(phase, role)?;
                     Some((size.sidecars as f64, 100.0 * figures.processor_cores))
@@ -175,21 +177,22 @@
         report::lines("processor time, percent of a core", "sidecars", &lines)
     }
 
-    /// Prints a summary. The windows of the short form are too short for rates: it prints counts.
+    /// Prints a summary. The windows of the short form are too short for rates, so it prints
+    /// counts.
     pub fn print(&self) {
         if self.fits.is_empty() {
-            println!("{}\nall checks hold", self.counts());
+            println!("{}\nall checks passed", self.counts_table());
         } else {
-            println!("{}", self.table());
+            println!("{}", self.figures_table());
         }
         println!("peers: {}", self.peers);
         for fitted in &self.fits {
             let FittedFigure { role, phase, figure, fit } = fitted;
             println!(
                 "fit {role} {phase} {figure}: slope {} a sidecar, intercept {}, residual {}",
-                digits(fit.slope),
-                digits(fit.intercept),
-                digits(fit.residual)
+                format_number(fit.slope),
+                format_number(fit.intercept),
+                format_number(fit.residual)
             );
         }
         let Some(prediction) = &self.prediction else { return };
@@ -198,13 +201,13 @@
             let sidecars = prediction.size.sidecars;
             println!(
                 "prediction at {sidecars}, {role} {figure}: {}, measured {}, error {error}",
-                digits(*predicted),
-                digits(*measured)
+                format_number(*predicted),
+                format_number(*measured)
             );
         }
     }
 
-    fn counts(&self) -> comfy_table::Table {
+    fn counts_table(&self) -> comfy_table::Table {
         let rows = self.sizes.iter().flat_map(|size| {
             size.phases.iter().map(|record| {
                 let traffic = &record.measured.discovery_traffic;
@@ -224,25 +227,27 @@
             "sidecars",
             "phase",
             "restarts",
-            "calls",
+            "polls",
             "whole lists",
             "changes",
-            "without news",
-            "hold the newest list",
+            "without changes",
+            "have the newest list",
         ];
         markdown(header, rows)
     }
 
-    fn table(&self) -> comfy_table::Table {
-        let beyond = self.prediction.iter().map(|prediction| &prediction.size);
-        let rows = self.sizes.iter().chain(beyond).flat_map(|size| {
-            size.phases.iter().flat_map(|record| record.measured.roles.iter().map(|f| row(size, record, f)))
+    fn figures_table(&self) -> comfy_table::Table {
+        let predicted_size = self.prediction.iter().map(|prediction| &prediction.size);
+        let rows = self.sizes.iter().chain(predicted_size).flat_map(|size| {
+            size.phases
+                .iter()
+                .flat_map(|record| record.measured.roles.iter().map(|f| table_row(size, record, f)))
         });
         let header = [
             "sidecars",
             "load",
             "phase",
-            "newest list held",
+            "newest list after",
             "role",
             "core",
             "PSS KiB",
@@ -257,13 +262,13 @@
     }
 }
 
-/// A number with at least three digits that count.
-fn digits(number: f64) -> String {
+/// Formats a number with at least three significant digits.
+fn format_number(number: f64) -> String {
     if number == 0.0 || number.abs() >= 0.1 { format!("{number:.3}") } else { format!("{number:.2e}") }
 }
 
-fn row(size: &SizeRecord, record: &PhaseRecord, figures: &Figures) -> Vec<String> {
-    let some = |value: Option<f64>| value.map_or("-".to_owned(), |value| format!("{value:.2}"));
+fn table_row(size: &SizeRecord, record: &PhaseRecord, figures: &Figures) -> Vec<String> {
+    let optional = |value: Option<f64>| value.map_or("-".to_owned(), |value| format!("{value:.2}"));
     let held = record.happened.held_after_seconds;
     vec![
         size.sidecars.to_string(),
@@ -275,18 +280,18 @@
         format!("{:.0}", figures.pss_kib),
         format!("{:.0}", figures.rss_kib),
         format!("{:.1}", figures.descriptors),
-        some(figures.bytes_in_per_second),
-        some(figures.bytes_out_per_second),
-        some(figures.messages_in_per_second),
-        some(figures.messages_out_per_second),
+        optional(figures.bytes_in_per_second),
+        optional(figures.bytes_out_per_second),
+        optional(figures.messages_in_per_second),
+        optional(figures.messages_out_per_second),
     ]
 }
 
-/// All lines that the measured sizes give.
-fn fitted(sizes: &[SizeRecord]) -> Vec<FittedFigure> {
+/// Fits a line for each figure of each role in each phase.
+fn fit_all(sizes: &[SizeRecord]) -> Vec<FittedFigure> {
     let mut fits = Vec::new();
     for role in Role::ALL {
-        for phase in Phase::ALL {
+        for phase in Phase::FULL_FORM {
             for figure in Figure::ALL {
                 let point = |size: &SizeRecord| {
                     Some((size.count_for(role), size.figures(phase, role)?.get(figure)?))
@@ -300,8 +305,8 @@
     fits
 }
 
-/// The lines of the calm phase, held against a size that they do not know.
-fn predicted(fits: &[FittedFigure], size: &SizeRecord) -> Vec<Predicted> {
+/// Compares the lines of the calm phase with a size that is not part of the fits.
+fn predict(fits: &[FittedFigure], size: &SizeRecord) -> Vec<Predicted> {
     let calm = fits.iter().filter(|fitted| fitted.phase == Phase::Calm);
     let compare = |fitted: &FittedFigure| {
         let FittedFigure { role, figure, fit, .. } = *fitted;
--- a/crates/lab/src/scale/sample.rs
+++ b/crates/lab/src/scale/sample.rs
@@ -1,4 +1,4 @@
-//! All that is measured at one moment, and the figures of the time between two.
+//! Samples of all processes at one moment, and the figures for the time between two samples.
 
 pub use super::host::link::LinkTraffic;
 use super::layout::{DISCOVERIES, Layout};
@@ -9,22 +9,22 @@
 use std::fmt;
 use std::time::Instant;
 
-/// A role that control costs something.
+/// A role that has a cost of control.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// A real process of the program: the mean of all.
+    /// A real process of the program; the mean over all of them.
     Sidecar,
-    /// The process of all hollow sidecars, whole.
+    /// The process of all hollow sidecars.
     HollowHost,
-    /// A stand-in discovery: the mean of the five.
+    /// A discovery stand-in; the mean over all of them.
     Discovery,
-    /// The process of the link between the regions, whole.
+    /// The process of the link between the regions.
     RegionLink,
 }
 
 impl Role {
-    /// All.
+    /// All roles.
     pub const ALL: [Role; 4] = [Role::Sidecar, Role::HollowHost, Role::Discovery, Role::RegionLink];
 }
 
@@ -43,26 +43,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Figure {
-    /// Processor time, as a part of one core.
+    /// Processor time as a fraction of one core.
     ProcessorCores,
     /// Proportional set size at the end.
     PssKib,
     /// Resident set size at the end.
     RssKib,
-    /// Open descriptors at the end.
+    /// Open file descriptors at the end.
     Descriptors,
-    /// Bytes to the role a second.
+    /// Bytes received by the role per second.
     BytesInPerSecond,
-    /// Bytes from the role a second.
+    /// Bytes sent by the role per second.
     BytesOutPerSecond,
-    /// Messages to the role a second.
+    /// Messages received by the role per second.
     MessagesInPerSecond,
-    /// Messages from the role a second.
+    /// Messages sent by the role per second.
     MessagesOutPerSecond,
 }
 
 impl Figure {
-    /// All.
+    /// All figures.
     pub const ALL: [Figure; 8] = [
         Figure::ProcessorCores,
         Figure::PssKib,
@@ -93,7 +93,7 @@
 /// The figures of one role; `None` where a figure is not measured.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Figures {
-    /// Whose.
+    /// The role.
     pub role: Role,
     /// See [`Figure::ProcessorCores`].
     pub processor_cores: f64,
@@ -114,7 +114,7 @@
 }
 
 impl Figures {
-    /// One figure, where it is measured.
+    /// The value of one figure, if it is measured.
     pub fn get(&self, figure: Figure) -> Option<f64> {
         match figure {
             Figure::ProcessorCores => Some(self.processor_cores),
@@ -129,52 +129,53 @@
     }
 }
 
-/// All that is measured at one moment.
+/// A sample of all processes at one moment.
 #[derive(Clone, Debug)]
 pub(super) struct Sample {
     pub at: Instant,
-    /// The sum of all real processes.
+    /// The sum over all real processes.
     pub real: ProcessSample,
     pub hollow: ProcessSample,
     pub discoveries: Vec<ProcessSample>,
     pub link: ProcessSample,
-    /// The sum of all discoveries.
+    /// The sum over all discovery stand-ins.
     pub traffic: Traffic,
     pub link_traffic: LinkTraffic,
     pub operator: OperatorTraffic,
 }
 
-/// Descriptors at the end, checked by the short form.
+/// The numbers of open descriptors at the end, which the short form checks.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Descriptors {
     /// Of all real processes together.
     pub real: u64,
     /// Of the host of hollow sidecars.
     pub hollow: u64,
-    /// Of that discovery which has the most.
+    /// Of the discovery stand-in that has the most.
     pub discovery: u64,
     /// Of the link.
     pub link: u64,
 }
 
-/// What lies between two samples.
+/// The measurement of the time between two samples.
 #[derive(Clone, Debug, Serialize)]
-pub struct Measured {
-    /// How long that was.
+pub struct Measurement {
+    /// The length of that time.
     pub seconds: f64,
-    /// By role.
+    /// The figures of discoveries role.
     pub roles: Vec<Figures>,
-    /// What passed at all discoveries together; the connections are those at the end.
+    /// The traffic of all discovery stand-ins together. `open` and `up_to_date` are values at the
+    /// end.
     pub discovery_traffic: Traffic,
-    /// What passed through the link.
+    /// The traffic through the link.
     pub link_traffic: LinkTraffic,
-    /// The operator's calls on real processes.
+    /// The operator's queries to real processes.
     pub operator_traffic: OperatorTraffic,
-    /// At the end.
+    /// Open descriptors at the end.
     pub descriptors: Descriptors,
 }
 
-/// Adds up what passed at several discoveries.
+/// Adds up the traffic of several discovery stand-ins.
 pub(super) fn sum(all: &[Traffic]) -> Traffic {
     let add = |a: Answers, b: Answers| Answers { count: a.count + b.count, bytes: a.bytes + b.bytes };
     all.iter().fold(Traffic::default(), |sum, one| Traffic {
@@ -189,21 +190,21 @@
     })
 }
 
-fn passed(from: &Traffic, to: &Traffic) -> Traffic {
-    let less =
+fn traffic_between(from: &Traffic, to: &Traffic) -> Traffic {
+    let subtract =
         |to: Answers, from: Answers| Answers { count: to.count - from.count, bytes: to.bytes - from.bytes };
     Traffic {
         calls: to.calls - from.calls,
         bytes_in: to.bytes_in - from.bytes_in,
-        whole: less(to.whole, from.whole),
-        changes: less(to.changes, from.changes),
-        quiet: less(to.quiet, from.quiet),
+        whole: subtract(to.whole, from.whole),
+        changes: subtract(to.changes, from.changes),
+        quiet: subtract(to.quiet, from.quiet),
         connections: to.connections - from.connections,
         ..*to
     }
 }
 
-fn link_passed(from: &LinkTraffic, to: &LinkTraffic) -> LinkTraffic {
+fn link_traffic_between(from: &LinkTraffic, to: &LinkTraffic) -> LinkTraffic {
     LinkTraffic {
         connections: to.connections - from.connections,
         reset: to.reset - from.reset,
@@ -212,7 +213,7 @@
     }
 }
 
-fn operator_passed(from: &OperatorTraffic, to: &OperatorTraffic) -> OperatorTraffic {
+fn operator_traffic_between(from: &OperatorTraffic, to: &OperatorTraffic) -> OperatorTraffic {
     OperatorTraffic {
         calls: to.calls - from.calls,
         bytes_in: to.bytes_in - from.bytes_in,
@@ -220,15 +221,21 @@
     }
 }
 
-/// One process, or the mean of several, over so many seconds.
-fn process(role: Role, from: &[ProcessSample], to: &[ProcessSample], seconds: f64, share: f64) -> Figures {
+/// The figures of one process, or the mean over `share` processes.
+fn process_figures(
+    role: Role,
+    from: &[ProcessSample],
+    to: &[ProcessSample],
+    seconds: f64,
+    count: f64,
+) -> Figures {
     let processor = |all: &[ProcessSample]| all.iter().map(|one| one.processor.as_secs_f64()).sum::<f64>();
     Figures {
         role,
-        processor_cores: (processor(to) - processor(from)) / seconds / share,
-        pss_kib: to.iter().map(|one| one.pss_kib as f64).sum::<f64>() / share,
-        rss_kib: to.iter().map(|one| one.rss_kib as f64).sum::<f64>() / share,
-        descriptors: to.iter().map(|one| one.descriptors as f64).sum::<f64>() / share,
+        processor_cores: (processor(to) - processor(from)) / seconds / count,
+        pss_kib: to.iter().map(|one| one.pss_kib as f64).sum::<f64>() / count,
+        rss_kib: to.iter().map(|one| one.rss_kib as f64).sum::<f64>() / count,
+        descriptors: to.iter().map(|one| one.descriptors as f64).sum::<f64>() / count,
         bytes_in_per_second: None,
         bytes_out_per_second: None,
         messages_in_per_second: None,
@@ -236,42 +243,42 @@
     }
 }
 
-/// The figures of the time between two samples.
-pub(super) fn between(layout: &Layout, from: &Sample, to: &Sample) -> Measured {
+/// The measurement of the time between two samples.
+pub(super) fn between(layout: &Layout, from: &Sample, to: &Sample) -> Measurement {
     let seconds = (to.at - from.at).as_secs_f64();
-    let traffic = passed(&from.traffic, &to.traffic);
-    let link_traffic = link_passed(&from.link_traffic, &to.link_traffic);
-    let operator = operator_passed(&from.operator, &to.operator);
+    let traffic = traffic_between(&from.traffic, &to.traffic);
+    let link_traffic = link_traffic_between(&from.link_traffic, &to.link_traffic);
+    let operator = operator_traffic_between(&from.operator, &to.operator);
     let answers = (traffic.whole.count + traffic.changes.count + traffic.quiet.count) as f64;
-    let answered = (traffic.whole.bytes + traffic.changes.bytes + traffic.quiet.bytes) as f64;
-    let (real, all, each) = (layout.real as f64, layout.sidecars as f64, DISCOVERIES as f64);
-    // All sidecars make the same calls on discovery; the operator calls on real processes alone.
+    let answer_bytes = (traffic.whole.bytes + traffic.changes.bytes + traffic.quiet.bytes) as f64;
+    let (real, sidecars, discoveries) = (layout.real as f64, layout.sidecars as f64, DISCOVERIES as f64);
+    // All sidecars make the same polls; the operator queries real processes only.
     let sidecar = Figures {
-        bytes_in_per_second: Some((answered / all + operator.bytes_in as f64 / real) / seconds),
+        bytes_in_per_second: Some((answer_bytes / sidecars + operator.bytes_in as f64 / real) / seconds),
         bytes_out_per_second: Some(
-            (traffic.bytes_in as f64 / all + operator.bytes_out as f64 / real) / seconds,
+            (traffic.bytes_in as f64 / sidecars + operator.bytes_out as f64 / real) / seconds,
         ),
-        messages_in_per_second: Some((answers / all + operator.calls as f64 / real) / seconds),
+        messages_in_per_second: Some((answers / sidecars + operator.calls as f64 / real) / seconds),
         messages_out_per_second: Some(
-            (traffic.calls as f64 / all + operator.calls as f64 / real) / seconds,
+            (traffic.calls as f64 / sidecars + operator.calls as f64 / real) / seconds,
         ),
-        ..process(Role::Sidecar, &[from.real], &[to.real], seconds, real)
+        ..process_figures(Role::Sidecar, &[from.real], &[to.real], seconds, real)
     };
     let discovery = Figures {
-        bytes_in_per_second: Some(traffic.bytes_in as f64 / each / seconds),
-        bytes_out_per_second: Some(answered / each / seconds),
-        messages_in_per_second: Some(traffic.calls as f64 / each / seconds),
-        messages_out_per_second: Some(answers / each / seconds),
-        ..process(Role::Discovery, &from.discoveries, &to.discoveries, seconds, each)
+        bytes_in_per_second: Some(traffic.bytes_in as f64 / discoveries / seconds),
+        bytes_out_per_second: Some(answer_bytes / discoveries / seconds),
+        messages_in_per_second: Some(traffic.calls as f64 / discoveries / seconds),
+        messages_out_per_second: Some(answers / discoveries / seconds),
+        ..process_figures(Role::Discovery, &from.discoveries, &to.discoveries, seconds, discoveries)
     };
     let link = Figures {
         bytes_in_per_second: Some(link_traffic.bytes_there as f64 / seconds),
         bytes_out_per_second: Some(link_traffic.bytes_back as f64 / seconds),
-        ..process(Role::RegionLink, &[from.link], &[to.link], seconds, 1.0)
+        ..process_figures(Role::RegionLink, &[from.link], &[to.link], seconds, 1.0)
     };
-    let hollow = process(Role::HollowHost, &[from.hollow], &[to.hollow], seconds, 1.0);
-    let most = to.discoveries.iter().map(|one| one.descriptors).max();
-    Measured {
+    let hollow = process_figures(Role::HollowHost, &[from.hollow], &[to.hollow], seconds, 1.0);
+    let max_descriptors = to.discoveries.iter().map(|one| one.descriptors).max();
+    Measurement {
         seconds,
         roles: vec![sidecar, hollow, discovery, link],
         discovery_traffic: traffic,
@@ -280,7 +287,7 @@
         descriptors: Descriptors {
             real: to.real.descriptors,
             hollow: to.hollow.descriptors,
-            discovery: most.unwrap_or_default(),
+            discovery: max_descriptors.unwrap_or_default(),
             link: to.link.descriptors,
         },
     }
