--- a/crates/lab/src/rig/links.rs
+++ b/crates/lab/src/rig/links.rs
@@ -34,21 +34,21 @@
 
 /// The number of datagrams that a directed link has handled so far, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct LinkCounts {
     /// Datagrams that passed. A duplicated one counts once.
     pub passed: u64,
     /// Datagrams that were lost at random or because the link was cut.
     pub dropped: u64,
     /// Datagrams that passed with a second copy.
-    pub doubled: u64,
+    pub duplicated: u64,
     /// Datagrams that were delayed further by `hold`.
-    pub held: u64,
+    pub reordered: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Link {
     faults: Faults,
-    counts: Counts,
+    counts: LinkCounts,
 }
 
 /// A change to links, from a schedule or a command. Members are given by index.
@@ -104,7 +104,7 @@
         let Some(index) = self.index(from, to) else { return [None; 2] };
         let (link, draw) = (&mut self.links[index], &mut self.draws[from]);
         let Faults { loss, duplicate, reorder, hold, delay, cut } = link.faults;
-        let [lost, doubled, held] = [loss, duplicate, reorder].map(|share| draw.share() < share);
+        let [lost, duplicated, reordered] = [loss, duplicate, reorder].map(|share| draw.share() < share);
         let [first, second] = [(); 2].map(|()| {
             let spread = delay.1.saturating_sub(delay.0).as_nanos() as f64;
             delay.0.as_nanos() as u64 + (spread * draw.share()) as u64
@@ -114,11 +114,11 @@
             return [None; 2];
         }
         link.counts.passed += 1;
-        link.counts.doubled += u64::from(doubled);
-        link.counts.held += u64::from(held);
-        let hold_ns = if held { hold.as_nanos() as u64 } else { 0 };
+        link.counts.duplicated += u64::from(duplicated);
+        link.counts.reordered += u64::from(reordered);
+        let hold_ns = if reordered { hold.as_nanos() as u64 } else { 0 };
         let arrives = |after: u64| Time(now.0.saturating_add(after));
-        [Some(arrives(first.saturating_add(hold_ns))), doubled.then(|| arrives(second))]
+        [Some(arrives(first.saturating_add(hold_ns))), duplicated.then(|| arrives(second))]
     }
 
     /// Sets the faults of a directed link. Does nothing for a member that does not exist.
@@ -171,17 +171,17 @@
     }
 
     /// The counts of a directed link so far, or `None` for a member that does not exist.
-    pub fn counts(&self, from: usize, to: usize) -> Option<Counts> {
+    pub fn counts(&self, from: usize, to: usize) -> Option<LinkCounts> {
         self.index(from, to).map(|index| self.links[index].counts)
     }
 
     /// The sum of the counts of all links so far.
-    pub fn sum(&self) -> Counts {
-        self.links.iter().fold(Counts::default(), |sum, link| Counts {
+    pub fn sum(&self) -> LinkCounts {
+        self.links.iter().fold(LinkCounts::default(), |sum, link| LinkCounts {
             passed: sum.passed + link.counts.passed,
             dropped: sum.dropped + link.counts.dropped,
-            doubled: sum.doubled + link.counts.doubled,
-            held: sum.held + link.counts.held,
+            duplicated: sum.duplicated + link.counts.duplicated,
+            reordered: sum.reordered + link.counts.reordered,
         })
     }
 
@@ -230,7 +230,7 @@
     /// Guards against loss, duplication and reordering at rates other than those configured, on
     /// links with or without faults, and against counts that do not match what arrived.
     #[test]
-    fn datagrams_are_dropped_duplicated_and_held_at_the_configured_rates() {
+    fn datagrams_are_dropped_duplicated_and_reordered_at_the_configured_rates() {
         let mut links = Links::new(3, 7);
         assert_eq!(
             links.pass(NOW, 0, 1).collect::<Vec<_>>(),
@@ -247,14 +247,18 @@
             }
         }
         let counts = links.counts(1, 2).expect("it exists");
-        assert_eq!((counts.passed + counts.dropped, arrived), (10_000, counts.passed + counts.doubled));
-        assert_eq!(late, counts.held);
+        assert_eq!((counts.passed + counts.dropped, arrived), (10_000, counts.passed + counts.duplicated));
+        assert_eq!(late, counts.reordered);
         // Allows five standard deviations around the expected count.
         let near = |n: u64, of: f64, p: f64| (n as f64 - of * p).abs() < 5.0 * (of * p * (1.0 - p)).sqrt();
         assert!(near(counts.dropped, 10_000.0, 0.2), "{counts:?}");
-        assert!(near(counts.doubled, counts.passed as f64, 0.1), "{counts:?}");
-        assert!(near(counts.held, counts.passed as f64, 0.5), "{counts:?}");
-        assert_eq!(links.counts(2, 1), Some(Counts::default()), "the opposite direction has its own state");
+        assert!(near(counts.duplicated, counts.passed as f64, 0.1), "{counts:?}");
+        assert!(near(counts.reordered, counts.passed as f64, 0.5), "{counts:?}");
+        assert_eq!(
+            links.counts(2, 1),
+            Some(LinkCounts::default()),
+            "the opposite direction has its own state"
+        );
     }
 
     /// Guards against delays outside the configured range and against two copies of a datagram that
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -7,7 +7,7 @@
 //! is the relay transparent. A datagram from a socket that is not, or no longer, a member's is
 //! dropped and counted.
 
-use super::links::{Change, Counts, Links, Schedule};
+use super::links::{Change, LinkCounts, Links, Schedule};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use cottonpoint_decide::Time;
@@ -191,12 +191,12 @@
     }
 
     /// The counts of a directed link so far, or `None` for a member that does not exist.
-    pub fn counts(&self, from: usize, to: usize) -> Option<Counts> {
+    pub fn counts(&self, from: usize, to: usize) -> Option<LinkCounts> {
         self.shared.state().links.counts(from, to)
     }
 
     /// The sum of the counts of all links so far.
-    pub fn sum(&self) -> Counts {
+    pub fn sum(&self) -> LinkCounts {
         self.shared.state().links.sum()
     }
 
--- a/crates/lab/src/rig/tests.rs
+++ b/crates/lab/src/rig/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the UDP and TCP relays with plain sockets in place of processes.
 
-use super::links::{Change, Counts, Faults};
+use super::links::{Change, Faults, LinkCounts};
 use super::relay::{Relay, Undelivered};
 use super::stream::{StreamFaults, StreamRelays};
 use std::collections::BTreeSet;
@@ -89,7 +89,7 @@
     assert_eq!(receive(&sockets[1]).0, 3);
 
     // Sends the same byte repeatedly until the link's counts satisfy the condition.
-    let send_until = |done: &dyn Fn(Counts) -> bool| {
+    let send_until = |done: &dyn Fn(LinkCounts) -> bool| {
         let begun = Instant::now();
         while !done(relay.counts(0, 1).expect("the link exists")) {
             assert!(begun.elapsed() < TIMEOUT, "{:?}", relay.counts(0, 1));
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -55,7 +55,7 @@
                     "{} to {} after {} s: {:?}, {} in flight", from, to, second, flow, in_flight
                 );
                 let link = fleet.links().counts(from, to).expect("it exists");
-                prop_assert_eq!((link.passed + link.dropped, link.doubled), (flow.sent, flow.doubled));
+                prop_assert_eq!((link.passed + link.dropped, link.duplicated), (flow.sent, flow.doubled));
             }
         }
         let sum = fleet.flow_sum();
