--- a/crates/lab/src/fleet/plays.rs
+++ b/crates/lab/src/fleet/plays.rs
@@ -4,7 +4,7 @@
 use super::setup::{Do, Setup};
 use super::{Disabled, Fleet};
 use crate::draw::{Draw, Purpose};
-use crate::rig::links::{Change, Faults};
+use crate::rig::links::{Faults, LinkChange};
 use cottonpoint_peers::{MemberState, PartitionStatus, bounds};
 use std::time::Duration;
 
@@ -92,7 +92,7 @@
     let (n, now) = (base.setup().members, fleet.now());
     let faults = Faults { loss: share, ..base.setup().faults };
     fleet.at(now, Do::Watch(false));
-    fleet.at(now, Do::Links(Change::All(faults)));
+    fleet.at(now, Do::Links(LinkChange::All(faults)));
     fleet.run(now + periods * T);
     let (mut before, mut after) = ((0, 0), (0, 0));
     for i in 0..n {
@@ -111,11 +111,11 @@
     // With those left it is a majority: n / 2 + 1 at the least.
     let cut: Vec<usize> = (1..n - n / 2).map(|i| (victim + i) % n).collect();
     let faults = Faults { loss: 0.1, ..base.setup().faults };
-    fleet.at(now, Do::Links(Change::All(faults)));
+    fleet.at(now, Do::Links(LinkChange::All(faults)));
     match base.setup().seed % 3 {
-        0 => fleet.at(now, Do::Links(Change::CutOneWay(cut, vec![victim]))),
-        1 => fleet.at(now, Do::Links(Change::CutOneWay(vec![victim], cut))),
-        _ => fleet.at(now, Do::Links(Change::Split(vec![victim], cut))),
+        0 => fleet.at(now, Do::Links(LinkChange::CutOneWay(cut, vec![victim]))),
+        1 => fleet.at(now, Do::Links(LinkChange::CutOneWay(vec![victim], cut))),
+        _ => fleet.at(now, Do::Links(LinkChange::Split(vec![victim], cut))),
     }
     let end = now + 2 * bound_nanos(bounds::known_to_all, n);
     fleet.run(end);
@@ -141,7 +141,7 @@
     let mut order: Vec<usize> = (0..n).collect();
     (1..n).for_each(|i| order.swap(i, draw.below(i + 1)));
     let (first, second) = order.split_at(one);
-    fleet.at(now, Do::Links(Change::Split(first.to_vec(), second.to_vec())));
+    fleet.at(now, Do::Links(LinkChange::Split(first.to_vec(), second.to_vec())));
     let heal = now + bound_nanos(bounds::known_to_all, n) + 10 * T;
     fleet.run(heal);
     let lowest = fleet.lowest();
@@ -154,7 +154,7 @@
         [first, second].iter().all(|side| side.iter().all(|i| fleet.part(*i) == Some(right(side))));
     let last = fleet.log().parts.iter().filter(|(at, ..)| *at >= now).map(|(at, ..)| at - now).max();
     let named = last.filter(|_| rightly).unwrap_or(NEVER);
-    fleet.at(heal, Do::Links(Change::Heal));
+    fleet.at(heal, Do::Links(LinkChange::Heal));
     let mut astray = Vec::new();
     for step in 0..4 * agreement_bound(n) / T {
         fleet.run(heal + step * T / 4);
@@ -199,8 +199,8 @@
     let others: Vec<usize> = (0..n).filter(|i| *i != victim).collect();
     for turn in 0..20 {
         let at = now + turn * 3 * T;
-        fleet.at(at, Do::Links(Change::Split(vec![victim], others.clone())));
-        fleet.at(at + 3 * T / 2, Do::Links(Change::Heal));
+        fleet.at(at, Do::Links(LinkChange::Split(vec![victim], others.clone())));
+        fleet.at(at + 3 * T / 2, Do::Links(LinkChange::Heal));
     }
     let over = now + 60 * T - 3 * T / 2;
     fleet.run(over + 2 * agreement_bound(n));
@@ -234,7 +234,7 @@
 pub fn bytes(base: &Fleet, loss: f64) -> (f64, f64) {
     let mut fleet = base.clone();
     let (n, now) = (base.setup().members, fleet.now());
-    fleet.at(now, Do::Links(Change::All(Faults { loss, ..base.setup().faults })));
+    fleet.at(now, Do::Links(LinkChange::All(Faults { loss, ..base.setup().faults })));
     // News of the start has gone by then: each of it rides as often as it may, 13 and more to a packet, two packets a
     // period.
     let from = now + n as u64 * bound_nanos(bounds::dissemination, n) / 26;
@@ -260,9 +260,9 @@
     fleet.at(now + 40 * T, Do::Stop(1));
     fleet.at(now + 55 * T, Do::Resume(1));
     let (one, other) = ((0..n / 3).collect(), (n / 3..n).collect());
-    fleet.at(now + 90 * T, Do::Links(Change::Split(one, other)));
+    fleet.at(now + 90 * T, Do::Links(LinkChange::Split(one, other)));
     let heal = now + 100 * T + bound_nanos(bounds::known_to_all, n);
-    fleet.at(heal, Do::Links(Change::Heal));
+    fleet.at(heal, Do::Links(LinkChange::Heal));
     fleet.at(heal + 60 * T, Do::Leave(2));
     fleet.at(heal + 90 * T, Do::Crash(n - 1));
     fleet.at(heal + 140 * T + bound_nanos(bounds::known_to_all, n), Do::Watch(false));
--- a/crates/lab/src/fleet/setup.rs
+++ b/crates/lab/src/fleet/setup.rs
@@ -1,7 +1,7 @@
 //! What a fleet is made of, what is done to it, and what becomes of its packets.
 
 use super::disabled::Disabled;
-use crate::rig::links::{Change, Faults};
+use crate::rig::links::{Faults, LinkChange};
 use std::time::Duration;
 
 /// Bytes that the seal adds to a packet: version 1, cluster 8, MAC 16 (`docs/design/peers.md`).
@@ -64,7 +64,7 @@
     /// It joins the fleet again.
     Join(usize),
     /// Links change.
-    Links(Change),
+    Links(LinkChange),
     /// From now on that share of packets is sent once more, after such a time on average.
     Listen(f64, Duration),
     /// A part of the plane is disabled.
--- a/crates/lab/src/rig/links.rs
+++ b/crates/lab/src/rig/links.rs
@@ -53,7 +53,7 @@
 
 /// A change to links, from a schedule or a command. Members are given by index.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub enum LinkChange {
     /// Sets the faults of all links. This also ends cuts.
     All(Faults),
     /// Sets the faults of one directed link.
@@ -160,13 +160,13 @@
     }
 
     /// Applies a change.
-    pub fn change(&mut self, change: &Change) {
+    pub fn change(&mut self, change: &LinkChange) {
         match change {
-            Change::All(faults) => self.set_all(*faults),
-            Change::One { from, to, faults } => self.set(*from, *to, *faults),
-            Change::Split(one, other) => self.split(one, other),
-            Change::CutOneWay(from, to) => self.cut_one_way(from, to),
-            Change::Heal => self.heal(),
+            LinkChange::All(faults) => self.set_all(*faults),
+            LinkChange::One { from, to, faults } => self.set(*from, *to, *faults),
+            LinkChange::Split(one, other) => self.split(one, other),
+            LinkChange::CutOneWay(from, to) => self.cut_one_way(from, to),
+            LinkChange::Heal => self.heal(),
         }
     }
 
@@ -194,12 +194,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct Schedule {
     /// Sorted by time, latest first.
-    pending: Vec<(Time, Change)>,
+    pending: Vec<(Time, LinkChange)>,
 }
 
 impl Schedule {
     /// Adds a change. Changes at the same time are applied in the order in which they were added.
-    pub fn add(&mut self, at: Time, change: Change) {
+    pub fn add(&mut self, at: Time, change: LinkChange) {
         let position = self.pending.partition_point(|(other, _)| *other > at);
         self.pending.insert(position, (at, change));
     }
@@ -298,10 +298,10 @@
     #[test]
     fn schedule_applies_due_changes_in_order() {
         let (mut links, mut schedule) = (Links::new(2, 1), Schedule::default());
-        schedule.add(Time(30), Change::Heal);
-        schedule.add(Time(10), Change::Split(vec![0], vec![1]));
-        schedule.add(Time(10), Change::Heal);
-        schedule.add(Time(20), Change::CutOneWay(vec![0], vec![1]));
+        schedule.add(Time(30), LinkChange::Heal);
+        schedule.add(Time(10), LinkChange::Split(vec![0], vec![1]));
+        schedule.add(Time(10), LinkChange::Heal);
+        schedule.add(Time(20), LinkChange::CutOneWay(vec![0], vec![1]));
         let mut cut_at = |now| {
             schedule.apply_due(Time(now), &mut links);
             let cut = [(0, 1), (1, 0)].map(|(from, to)| links.faults(from, to).is_some_and(|f| f.cut));
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -7,7 +7,7 @@
 //! is the relay transparent. A datagram from a socket that is not, or no longer, a member's is
 //! dropped and counted.
 
-use super::links::{Change, LinkCounts, Links, Schedule};
+use super::links::{LinkChange, LinkCounts, Links, Schedule};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use cottonpoint_decide::Time;
@@ -174,12 +174,12 @@
     }
 
     /// Changes links now.
-    pub fn change(&self, change: &Change) {
+    pub fn change(&self, change: &LinkChange) {
         self.shared.state().links.change(change);
     }
 
     /// Changes links after a delay.
-    pub fn change_after(&self, after: Duration, change: Change) {
+    pub fn change_after(&self, after: Duration, change: LinkChange) {
         let at = self.shared.now() + after;
         self.shared.state().schedule.add(at, change);
         self.shared.schedule_changed.notify(1);
--- a/crates/lab/src/rig/tests.rs
+++ b/crates/lab/src/rig/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the UDP and TCP relays with plain sockets in place of processes.
 
-use super::links::{Change, Faults, LinkCounts};
+use super::links::{Faults, LinkChange, LinkCounts};
 use super::relay::{Relay, Undelivered};
 use super::stream::{StreamFaults, StreamRelays};
 use std::collections::BTreeSet;
@@ -48,7 +48,7 @@
     };
     send(&sockets[0], 1, 7);
     assert_eq!(receive(&sockets[1]), (7, relay.address(0).into()));
-    relay.change(&Change::CutOneWay(vec![0], vec![1]));
+    relay.change(&LinkChange::CutOneWay(vec![0], vec![1]));
     send(&sockets[0], 1, 8);
     send(&UdpSocket::bind("127.0.0.1:0").expect("a port is free"), 1, 9);
     let new_socket = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
@@ -76,7 +76,7 @@
     let (relay, sockets) = relay(2);
     let delay = Duration::from_millis(40);
     let slow = Faults { duplicate: 1.0, delay: (delay, delay), ..Faults::default() };
-    relay.change(&Change::One { from: 0, to: 1, faults: slow });
+    relay.change(&LinkChange::One { from: 0, to: 1, faults: slow });
     let begun = Instant::now();
     for byte in 0..20 {
         sockets[0].send_to(&[byte], relay.address(1)).expect("the datagram is sent");
@@ -97,8 +97,8 @@
             thread::sleep(Duration::from_millis(2));
         }
     };
-    relay.change_after(delay, Change::Split(vec![0], vec![1]));
-    relay.change_after(2 * delay, Change::All(Faults::default()));
+    relay.change_after(delay, LinkChange::Split(vec![0], vec![1]));
+    relay.change_after(2 * delay, LinkChange::All(Faults::default()));
     send_until(&|counts| counts.dropped > 0);
     let passed = relay.counts(0, 1).expect("the link exists").passed;
     send_until(&|counts| counts.passed > passed);
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs)]
 
 use cottonpoint_lab::fleet::{Do, Fleet, SOCKET_HOLDS, Setup};
-use cottonpoint_lab::rig::links::{Change, Faults};
+use cottonpoint_lab::rig::links::{Faults, LinkChange};
 use cottonpoint_peers::{MemberState, PACKET_LIMIT};
 use proptest::prelude::*;
 use std::time::Duration;
@@ -23,12 +23,12 @@
     let things = [
         (8, Do::Crash(0)),
         (9, Do::Stop(1)),
-        (15, Do::Links(Change::Split(half, rest))),
+        (15, Do::Links(LinkChange::Split(half, rest))),
         (20, Do::Resume(1)),
         (22, Do::Stop(2)),
         (25, Do::Crash(2)),
         (30, Do::Start(0)),
-        (40, Do::Links(Change::Heal)),
+        (40, Do::Links(LinkChange::Heal)),
         (45, Do::Leave(3)),
         (50, Do::Join(3)),
     ];
--- a/crates/lab/tests/fleet_peers.rs
+++ b/crates/lab/tests/fleet_peers.rs
@@ -5,7 +5,7 @@
 mod rig;
 
 use cottonpoint_lab::rig::fleet::Fleet;
-use cottonpoint_lab::rig::links::{Change, Faults};
+use cottonpoint_lab::rig::links::{Faults, LinkChange};
 use cottonpoint_lab::rig::view::{FleetView, MemberState, MemberView, PartitionStatus};
 use cottonpoint_lab::rig::watch::{check_throughout, quantile, wait_until_all};
 use cottonpoint_peers::{PACKET_LIMIT, bounds};
@@ -137,16 +137,16 @@
 fn one_way_cut_leaves_no_member_dead() {
     let fleet = running_fleet(10, 3);
     // A single link: indirect probes by other members prevent the suspicion.
-    fleet.relay.change(&Change::CutOneWay(vec![3], vec![4]));
+    fleet.relay.change(&LinkChange::CutOneWay(vec![3], vec![4]));
     let none_dead = |_, view: &FleetView| view.count_in(MemberState::LastKnown) == 0;
     check_throughout(&fleet, &all_members(&fleet), 20 * PERIOD, none_dead).expect("no member is dead");
     assert!(counter_sum(&fleet, &all_members(&fleet), "helped") > 0, "others sent indirect probes");
     // Three of nine members receive nothing from it any more; then it receives nothing from them.
     for (from, to) in [(vec![3], vec![4, 5, 6]), (vec![4, 5, 6], vec![3])] {
-        fleet.relay.change(&Change::CutOneWay(from, to));
+        fleet.relay.change(&LinkChange::CutOneWay(from, to));
         let in_time = |_, view: &FleetView| dead_members_refute_in_time(&fleet, view);
         check_throughout(&fleet, &all_members(&fleet), 30 * PERIOD, in_time).expect("no member stays dead");
-        fleet.relay.change(&Change::Heal);
+        fleet.relay.change(&LinkChange::Heal);
         wait_for_full_agreement(&fleet);
     }
 }
@@ -159,7 +159,7 @@
     let rest = other_members(&fleet, &[0]);
     wait_for_state(&fleet, &rest, &[0], MemberState::Left, agreement_bound(&fleet));
     let (small, large) = rest.split_at(rest.len() / 3);
-    fleet.relay.change(&Change::Split(small.to_vec(), large.to_vec()));
+    fleet.relay.change(&LinkChange::Split(small.to_vec(), large.to_vec()));
     let begun = Instant::now();
     // Each side probes one member a period, so suspecting all members of the other side takes a
     // round.
@@ -174,7 +174,7 @@
     };
     let times = wait_until_all(&fleet, &rest, begun, limit, sides).expect("each side reports its part");
     println!("{members} members: each side reported its part within {:?}", quantile(&times, 1.0));
-    fleet.relay.change(&Change::Heal);
+    fleet.relay.change(&LinkChange::Heal);
     let healed = wait_for_agreement(&fleet, &rest);
     println!(
         "{members} members: all agree {:?} after the heal; bound {:?}",
@@ -191,7 +191,7 @@
 
 fn loss(members: usize) {
     let fleet = running_fleet(members, 5);
-    fleet.relay.change(&Change::All(Faults { loss: 0.1, ..Faults::default() }));
+    fleet.relay.change(&LinkChange::All(Faults { loss: 0.1, ..Faults::default() }));
     let none_dead = |_, view: &FleetView| view.count_in(MemberState::LastKnown) == 0;
     check_throughout(&fleet, &all_members(&fleet), 60 * PERIOD, none_dead)
         .expect("no member is dead at 10% loss");
@@ -218,14 +218,14 @@
     let fleet = running_fleet(10, 6);
     let hold = Duration::from_millis(30);
     let faults = Faults { loss: 0.3, duplicate: 0.1, reorder: 0.1, hold, ..Faults::default() };
-    fleet.relay.change(&Change::All(faults));
+    fleet.relay.change(&LinkChange::All(faults));
     let in_time = |_, view: &FleetView| dead_members_refute_in_time(&fleet, view);
     check_throughout(&fleet, &all_members(&fleet), 60 * PERIOD, in_time).expect("no member stays dead");
     println!(
         "10 members at 30% loss: {} deaths declared by all members in 60 periods",
         counter_sum(&fleet, &all_members(&fleet), "deaths")
     );
-    fleet.relay.change(&Change::All(Faults::default()));
+    fleet.relay.change(&LinkChange::All(Faults::default()));
     wait_for_full_agreement(&fleet);
 }
 
@@ -239,8 +239,8 @@
     let flap = |cuts: &[(u32, u32)]| {
         let mut at = 0;
         for (cut, open) in cuts {
-            fleet.relay.change_after(PERIOD * at, Change::Split(vec![9], rest.clone()));
-            fleet.relay.change_after(PERIOD * (at + cut), Change::Heal);
+            fleet.relay.change_after(PERIOD * at, LinkChange::Split(vec![9], rest.clone()));
+            fleet.relay.change_after(PERIOD * (at + cut), LinkChange::Heal);
             at += cut + open;
         }
         PERIOD * at
