--- a/crates/lab/src/rig/links.rs
+++ b/crates/lab/src/rig/links.rs
@@ -246,7 +246,7 @@
                 late += u64::from(at.0 == NOW.0 + 40_000_000);
             }
         }
-        let counts = links.counts(1, 2).expect("it exists");
+        let counts = links.counts(1, 2).expect("the link exists");
         assert_eq!((counts.passed + counts.dropped, arrived), (10_000, counts.passed + counts.duplicated));
         assert_eq!(late, counts.reordered);
         // Allows five standard deviations around the expected count.
--- a/crates/lab/src/rig/process.rs
+++ b/crates/lab/src/rig/process.rs
@@ -85,7 +85,7 @@
         let (stderr, log) = (child.stderr.take(), Arc::new(Log::default()));
         let mut process = Process { child, status: None, log: log.clone(), reader: None };
         let Some(stderr) = stderr else {
-            return Err(io::Error::other("the process has no stderr"));
+            return Err(io::Error::other("no standard error"));
         };
         let reader = thread::Builder::new().name("log".to_owned()).spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
--- a/crates/lab/src/rig/view.rs
+++ b/crates/lab/src/rig/view.rs
@@ -13,10 +13,12 @@
     Alone,
     /// All members answer.
     Whole,
-    /// Most members answer, but not all.
+    /// Some members do not answer. Those that do are more than half, or exactly half including the
+    /// lowest id.
     #[serde(rename = "larger")]
     Majority,
-    /// Fewer members answer than may be in another partition, which may decide differently.
+    /// Fewer than half of the members answer, or exactly half without the lowest id. The other side
+    /// may make different decisions.
     #[serde(rename = "smaller")]
     Minority,
 }
