--- a/crates/lab/src/rig/process.rs
+++ b/crates/lab/src/rig/process.rs
@@ -84,9 +84,7 @@
             .spawn()?;
         let (stderr, log) = (child.stderr.take(), Arc::new(Log::default()));
         let mut process = Process { child, status: None, log: log.clone(), reader: None };
-        let Some(stderr) = stderr else {
-            return Err(io::Error::other("no standard error"));
-        };
+        let Some(stderr) = stderr else { return Err(io::Error::other("no stderr")) };
         let reader = thread::Builder::new().name("log".to_owned()).spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                 // A line that is not JSON, such as that of a panic, is kept as a string.
