--- a/crates/lab/src/fleet/experiments.rs
+++ b/crates/lab/src/fleet/experiments.rs
@@ -4,7 +4,7 @@
 use super::setup::{Operation, Setup};
 use super::{Disabled, Fleet};
 use crate::draw::{Draw, Purpose};
-use crate::rig::links::{Change, Faults};
+use crate::rig::links::{Faults, LinkChange};
 use cottonpoint_peers::{MemberState, PartitionStatus, bounds};
 use std::time::Duration;
 
@@ -96,7 +96,7 @@
     let (n, now) = (base.setup().members, fleet.now());
     let faults = Faults { loss: share, ..base.setup().faults };
     fleet.schedule(now, Operation::RecordViews(false));
-    fleet.schedule(now, Operation::Links(Change::All(faults)));
+    fleet.schedule(now, Operation::Links(LinkChange::All(faults)));
     fleet.run_until(now + periods * T);
     let (mut before, mut after) = ((0, 0), (0, 0));
     for i in 0..n {
@@ -120,11 +120,11 @@
     // With the members left it is in a majority: at least n / 2 + 1.
     let cut: Vec<usize> = (1..n - n / 2).map(|i| (victim + i) % n).collect();
     let faults = Faults { loss: 0.1, ..base.setup().faults };
-    fleet.schedule(now, Operation::Links(Change::All(faults)));
+    fleet.schedule(now, Operation::Links(LinkChange::All(faults)));
     match base.setup().seed % 3 {
-        0 => fleet.schedule(now, Operation::Links(Change::CutOneWay(cut, vec![victim]))),
-        1 => fleet.schedule(now, Operation::Links(Change::CutOneWay(vec![victim], cut))),
-        _ => fleet.schedule(now, Operation::Links(Change::Split(vec![victim], cut))),
+        0 => fleet.schedule(now, Operation::Links(LinkChange::CutOneWay(cut, vec![victim]))),
+        1 => fleet.schedule(now, Operation::Links(LinkChange::CutOneWay(vec![victim], cut))),
+        _ => fleet.schedule(now, Operation::Links(LinkChange::Split(vec![victim], cut))),
     }
     let end = now + 2 * bound_nanos(bounds::known_to_all, n);
     fleet.run_until(end);
@@ -152,7 +152,7 @@
     let mut order: Vec<usize> = (0..n).collect();
     (1..n).for_each(|i| order.swap(i, draw.below(i + 1)));
     let (first, second) = order.split_at(first_side_members);
-    fleet.schedule(now, Operation::Links(Change::Split(first.to_vec(), second.to_vec())));
+    fleet.schedule(now, Operation::Links(LinkChange::Split(first.to_vec(), second.to_vec())));
     let heal = now + bound_nanos(bounds::known_to_all, n) + 10 * T;
     fleet.run_until(heal);
     let lowest_id_member = fleet.lowest_id_member();
@@ -166,7 +166,7 @@
         .all(|side| side.iter().all(|i| fleet.partition_status(*i) == Some(expected_status(side))));
     let last = fleet.log().partitions.iter().filter(|(at, ..)| *at >= now).map(|(at, ..)| at - now).max();
     let partition_known_after = last.filter(|_| statuses_correct).unwrap_or(NEVER);
-    fleet.schedule(heal, Operation::Links(Change::Heal));
+    fleet.schedule(heal, Operation::Links(LinkChange::Heal));
     let mut disagreements = Vec::new();
     for step in 0..4 * agreement_bound(n) / T {
         fleet.run_until(heal + step * T / 4);
@@ -212,8 +212,8 @@
     let others: Vec<usize> = (0..n).filter(|i| *i != victim).collect();
     for turn in 0..20 {
         let at = now + turn * 3 * T;
-        fleet.schedule(at, Operation::Links(Change::Split(vec![victim], others.clone())));
-        fleet.schedule(at + 3 * T / 2, Operation::Links(Change::Heal));
+        fleet.schedule(at, Operation::Links(LinkChange::Split(vec![victim], others.clone())));
+        fleet.schedule(at + 3 * T / 2, Operation::Links(LinkChange::Heal));
     }
     let last_heal = now + 60 * T - 3 * T / 2;
     fleet.run_until(last_heal + 2 * agreement_bound(n));
@@ -250,7 +250,7 @@
 pub fn sending_rates(base: &Fleet, loss: f64) -> (f64, f64) {
     let mut fleet = base.clone();
     let (n, now) = (base.setup().members, fleet.now());
-    fleet.schedule(now, Operation::Links(Change::All(Faults { loss, ..base.setup().faults })));
+    fleet.schedule(now, Operation::Links(LinkChange::All(Faults { loss, ..base.setup().faults })));
     // Updates about the start are no longer sent by then: each is repeated as often as its limit
     // allows, at least 13 fit into a packet, and a member sends two packets per period.
     let from = now + n as u64 * bound_nanos(bounds::dissemination, n) / 26;
@@ -276,9 +276,9 @@
     fleet.schedule(now + 40 * T, Operation::Pause(1));
     fleet.schedule(now + 55 * T, Operation::Resume(1));
     let (one_side, other_side) = ((0..n / 3).collect(), (n / 3..n).collect());
-    fleet.schedule(now + 90 * T, Operation::Links(Change::Split(one_side, other_side)));
+    fleet.schedule(now + 90 * T, Operation::Links(LinkChange::Split(one_side, other_side)));
     let heal = now + 100 * T + bound_nanos(bounds::known_to_all, n);
-    fleet.schedule(heal, Operation::Links(Change::Heal));
+    fleet.schedule(heal, Operation::Links(LinkChange::Heal));
     fleet.schedule(heal + 60 * T, Operation::Leave(2));
     fleet.schedule(heal + 90 * T, Operation::Crash(n - 1));
     fleet.schedule(heal + 140 * T + bound_nanos(bounds::known_to_all, n), Operation::RecordViews(false));
--- a/crates/lab/src/fleet/setup.rs
+++ b/crates/lab/src/fleet/setup.rs
@@ -1,7 +1,7 @@
 //! The setup of a simulated fleet, operations on it, and packet counts.
 
 use super::disabled::Disabled;
-use crate::rig::links::{Change, Faults};
+use crate::rig::links::{Faults, LinkChange};
 use std::time::Duration;
 
 /// Bytes that the seal adds to a packet: version 1, cluster 8, MAC 16 (`docs/design/peers.md`).
@@ -68,7 +68,7 @@
     /// The member joins the fleet again.
     Join(usize),
     /// The faults of links change.
-    Links(Change),
+    Links(LinkChange),
     /// From now on that share of packets is replayed, after that mean delay.
     Replay(f64, Duration),
     /// A feature of the membership protocol is disabled.
--- a/crates/lab/src/prove/peers.rs
+++ b/crates/lab/src/prove/peers.rs
@@ -90,7 +90,8 @@
     fn new(n: usize, seeds: u64, crashes: u64) -> Fleets {
         Fleets {
             n,
-            crashes, settled: (1..=seeds).into_par_iter().map(|s| experiments::start_fleet(n, s)).collect(),
+            crashes,
+            settled: (1..=seeds).into_par_iter().map(|s| experiments::start_fleet(n, s)).collect(),
         }
     }
 
@@ -111,7 +112,8 @@
     }
 
     fn loss(&self, share: f64, disabled: Option<Disabled>) -> LossOutcome {
-        let all = self.for_each_fleet(|fleet| experiments::packet_loss(fleet, share, LOSS_PERIODS, disabled));
+        let all =
+            self.for_each_fleet(|fleet| experiments::packet_loss(fleet, share, LOSS_PERIODS, disabled));
         all.into_iter().fold(LossOutcome::default(), |sum, one| LossOutcome {
             member_periods: sum.member_periods + one.member_periods,
             suspicions: sum.suspicions + one.suspicions,
@@ -144,7 +146,8 @@
                 )]
             }),
             Box::new(move || {
-                let (dead, back): (Vec<_>, Vec<_>) = self.for_each_fleet(experiments::flap_links).into_iter().unzip();
+                let (dead, back): (Vec<_>, Vec<_>) =
+                    self.for_each_fleet(experiments::flap_links).into_iter().unzip();
                 let dead: usize = dead.iter().sum();
                 let claim = self.with_size("held dead while the links of one come and go each 1.5 T, 60 T");
                 let first = Claim::new(claim, "nobody", format!("{dead} times"), dead == 0);
@@ -154,7 +157,9 @@
             Box::new(move || {
                 let times: Vec<u64> = RESTART_TENTH_PERIODS
                     .iter()
-                    .flat_map(|gap| self.for_each_fleet(|fleet| experiments::restart_member(fleet, gap * T / 10)))
+                    .flat_map(|gap| {
+                        self.for_each_fleet(|fleet| experiments::restart_member(fleet, gap * T / 10))
+                    })
                     .collect();
                 let claim = "a new process at the same address is one member, known to all as itself";
                 vec![worst_case_claim(self.with_size(claim), &times, agreement_bound(n))]
@@ -163,7 +168,9 @@
                 let mut times: Vec<u64> =
                     self.settled.iter().map(|(_, settle_time)| *settle_time).collect();
                 for interval in [3 * T, 30 * T] {
-                    times.extend(self.for_each_fleet(|fleet| experiments::restart_fleet(fleet, interval, None)));
+                    times.extend(
+                        self.for_each_fleet(|fleet| experiments::restart_fleet(fleet, interval, None)),
+                    );
                 }
                 let claim =
                     "all ended at one instant and started again in any order: all agree after the last";
@@ -276,8 +283,9 @@
     }
 
     fn check_replay(&self) -> Vec<Claim> {
-        let pairs = self
-            .for_each_fleet(|fleet| (experiments::mixed_faults(fleet, 0.0), experiments::mixed_faults(fleet, REPLAYED_SHARE)));
+        let pairs = self.for_each_fleet(|fleet| {
+            (experiments::mixed_faults(fleet, 0.0), experiments::mixed_faults(fleet, REPLAYED_SHARE))
+        });
         let differ = pairs.iter().filter(|(without, with)| without.0 != with.0).count();
         let dead: Vec<u64> = pairs.iter().map(|(_, with)| with.1).collect();
         let claim = "views in the end with one packet in five sent again later, and without";
--- a/crates/lab/src/scale/host/link.rs
+++ b/crates/lab/src/scale/host/link.rs
@@ -1,6 +1,6 @@
-//! The link between the regions: a relay in front of each discovery.
+//! The link between the regions: a relay in front of each discovery stand-in.
 
-use crate::rig::stream::{StreamCounts, StreamFaults, Streams};
+use crate::rig::stream::{StreamCounts, StreamFaults, StreamRelays};
 use crate::scale::control::{self, Order};
 use crate::scale::layout::DISCOVERIES;
 use serde::{Deserialize, Serialize};
@@ -8,41 +8,41 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the link can be told.
+/// An order to the link.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(in crate::scale) enum LinkOrder {
-    /// Where the relays lead to, one for each discovery.
+    /// Sets the endpoint of each relay, one for each discovery stand-in.
     LeadTo(Vec<SocketAddr>),
-    /// Bytes pass, so much later.
+    /// Lets bytes pass with a delay.
     Pass {
-        /// How much later, either way.
+        /// The delay in either direction.
         delay: Duration,
     },
-    /// Bytes stop on the way, in both directions, until they pass again.
+    /// Holds bytes in both directions until they may pass again.
     Cut,
-    /// Nothing new; a report is wanted.
+    /// Changes nothing; requests a report.
     Report,
 }
 
-/// How the link stands.
+/// The state of the link.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(in crate::scale) struct LinkReport {
-    /// Where its relays listen, one for each discovery.
+    /// The addresses at which its relays listen, one for each discovery stand-in.
     pub addresses: Vec<SocketAddr>,
-    /// What has passed since the start.
+    /// The traffic since the start.
     pub traffic: LinkTraffic,
 }
 
-/// What has passed through the link.
+/// The traffic through the link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkTraffic {
-    /// Connections taken.
+    /// Connections accepted.
     pub connections: u64,
-    /// Of them, reset.
+    /// Connections that were reset.
     pub reset: u64,
-    /// Bytes to the discoveries.
+    /// Bytes forwarded to the discovery stand-ins.
     pub bytes_there: u64,
-    /// Bytes from the discoveries.
+    /// Bytes forwarded from the discovery stand-ins.
     pub bytes_back: u64,
 }
 
@@ -50,35 +50,39 @@
     type Report = LinkReport;
 }
 
-fn report(relays: &[Streams]) -> LinkReport {
+fn report(relays: &[StreamRelays]) -> LinkReport {
     let mut traffic = LinkTraffic::default();
     for relay in relays {
-        let StreamCounts { connections, reset, there, back } = relay.counts(0);
+        let StreamCounts { connections, reset, bytes_to_endpoint, bytes_from_endpoint } = relay.counts(0);
         traffic.connections += connections;
         traffic.reset += reset;
-        traffic.bytes_there += there;
-        traffic.bytes_back += back;
+        traffic.bytes_there += bytes_to_endpoint;
+        traffic.bytes_back += bytes_from_endpoint;
     }
     LinkReport { addresses: relays.iter().map(|relay| relay.address(0)).collect(), traffic }
 }
 
-fn set(relays: &[Streams], faults: StreamFaults) {
+fn set(relays: &[StreamRelays], faults: StreamFaults) {
     relays.iter().for_each(|relay| relay.set(0, faults));
 }
 
 pub(super) async fn serve() -> io::Result<()> {
-    // One set of relays for each discovery: each has room for connections of its own.
-    let relays = (0..DISCOVERIES).map(|_| Streams::start(1)).collect::<io::Result<Vec<_>>>()?;
+    // Each discovery stand-in has relays of its own, because the limit on connections applies to
+    // one set of relays.
+    let relays = (0..DISCOVERIES).map(|_| StreamRelays::start(1)).collect::<io::Result<Vec<_>>>()?;
     control::serve(|order| {
         match order {
-            LinkOrder::LeadTo(targets) => {
-                for (relay, target) in relays.iter().zip(targets) {
-                    relay.lead_to(0, Some(target));
+            LinkOrder::LeadTo(endpoints) => {
+                for (relay, endpoint) in relays.iter().zip(endpoints) {
+                    relay.set_endpoint(0, Some(endpoint));
                 }
             }
             LinkOrder::Pass { delay } => set(&relays, StreamFaults { delay, ..Default::default() }),
             LinkOrder::Cut => {
-                set(&relays, StreamFaults { hold_there: true, hold_back: true, ..Default::default() });
+                set(
+                    &relays,
+                    StreamFaults { hold_to_endpoint: true, hold_from_endpoint: true, ..Default::default() },
+                );
             }
             LinkOrder::Report => {}
         }
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs)]
 
 use cottonpoint_lab::fleet::{Fleet, Operation, SOCKET_QUEUE_PACKETS, Setup};
-use cottonpoint_lab::rig::links::{Change, Faults};
+use cottonpoint_lab::rig::links::{Faults, LinkChange};
 use cottonpoint_peers::{MemberState, PACKET_LIMIT};
 use proptest::prelude::*;
 use std::time::Duration;
@@ -23,12 +23,12 @@
     let operations = [
         (8, Operation::Crash(0)),
         (9, Operation::Pause(1)),
-        (15, Operation::Links(Change::Split(half, rest))),
+        (15, Operation::Links(LinkChange::Split(half, rest))),
         (20, Operation::Resume(1)),
         (22, Operation::Pause(2)),
         (25, Operation::Crash(2)),
         (30, Operation::Start(0)),
-        (40, Operation::Links(Change::Heal)),
+        (40, Operation::Links(LinkChange::Heal)),
         (45, Operation::Leave(3)),
         (50, Operation::Join(3)),
     ];
@@ -55,7 +55,7 @@
                     "{} to {} after {} s: {:?}, {} in flight", from, to, second, counts, in_flight
                 );
                 let link = fleet.links().counts(from, to).expect("the link exists");
-                prop_assert_eq!((link.passed + link.dropped, link.doubled), (counts.sent, counts.duplicated));
+                prop_assert_eq!((link.passed + link.dropped, link.duplicated), (counts.sent, counts.duplicated));
             }
         }
         let sum = fleet.total_counts();
