--- a/crates/lab/src/policies/mod.rs
+++ b/crates/lab/src/policies/mod.rs
@@ -7,8 +7,8 @@
 mod limits;
 mod rival;
 
-use crate::world::View;
-use crate::world::server::{Nanos, Server};
+use crate::world::EndpointView;
+use crate::world::endpoint::{EmulatedEndpoint, Nanos};
 use cottonpoint_decide::{Action, Balancer, Event, Settings, Time};
 pub use limits::Limiting;
 pub use rival::{Choice, Rival};
@@ -20,10 +20,10 @@
     /// The time.
     pub now: Nanos,
     /// All servers that ever were, by index, which is their id.
-    pub servers: &'a [Server],
+    pub servers: &'a [EmulatedEndpoint],
     /// The same servers as they were when the reports were made that a sidecar has by now; empty unless some decider
     /// [sees it late](Decider::sees_late).
-    pub late: &'a [View],
+    pub late: &'a [EndpointView],
 }
 
 /// What decides for one sidecar: the same events and actions as [`Balancer`].
--- a/crates/lab/src/policies/rival/choose.rs
+++ b/crates/lab/src/policies/rival/choose.rs
@@ -132,13 +132,13 @@
         let place = t.id.0 as usize;
         let view = match self.choice {
             Choice::LateState => truth.late.get(place).copied(),
-            _ => truth.servers.get(place).map(|s| View::of(s, truth.now)),
+            _ => truth.servers.get(place).map(|s| EndpointView::of(s, truth.now)),
         };
-        let Some(s) = view.filter(|s| s.takes) else { return f64::INFINITY };
-        let ahead = s.wants_core.max(t.out as usize / 2) as f64;
+        let Some(s) = view.filter(|s| s.accepts_work) else { return f64::INFINITY };
+        let ahead = s.runnable.max(t.out as usize / 2) as f64;
         let wait = if s.slots_taken { 2.0 } else { 1.0 };
         // Crowding must not begin: a server close to it counts as slower still.
         let crowd = if s.near_crowding { 3.0 } else { 1.0 };
-        self.work[class] / s.core.max(1e-9) * (1.0 + ahead / s.cores) * wait * crowd
+        self.work[class] / s.core_rate.max(1e-9) * (1.0 + ahead / s.cores) * wait * crowd
     }
 }
--- a/crates/lab/src/policies/rival/mod.rs
+++ b/crates/lab/src/policies/rival/mod.rs
@@ -11,7 +11,7 @@
 use super::limits::{Limit, Limiting};
 use super::{Decider, Truth};
 use crate::draw::{Draw, Purpose};
-use crate::world::View;
+use crate::world::EndpointView;
 pub use choose::Choice;
 use choose::DECAY_S;
 use cottonpoint_decide::*;
--- a/crates/lab/src/prove/fleet.rs
+++ b/crates/lab/src/prove/fleet.rs
@@ -5,7 +5,7 @@
 use crate::policies::broken::without_cold_budget;
 use crate::policies::{Decider, Policy, Truth};
 use crate::scenario::{Class, Scenario, Span};
-use crate::world::server::Life;
+use crate::world::endpoint::Life;
 use crate::world::{Breach, Maker, Rule, World};
 use cottonpoint_decide::{Action, ClassId, EndpointId, Event, RequestId, Settings, Time};
 use rayon::prelude::*;
@@ -140,15 +140,15 @@
         if let Event::Finished { endpoint, .. } = event
             && let Some(server) = truth.servers.get(endpoint.0 as usize)
         {
-            tally.most_open = tally.most_open.max(server.open);
+            tally.most_open = tally.most_open.max(server.open_connections);
         }
         if truth.now >= tally.counted_to + SAMPLE {
             let passed = (truth.now - tally.counted_to) as f64 / 1e9;
             tally.counted_to = truth.now;
             let cold = truth.servers.iter().filter(|s| s.life == Life::Up && s.warmth(truth.now) < 1.0);
             let rate = cold.map(|s| {
-                let work = self.rule.work.get(s.build.tier).copied().unwrap_or(f64::INFINITY);
-                s.present_capacity(truth.now) / work
+                let work = self.rule.work.get(s.spec.tier).copied().unwrap_or(f64::INFINITY);
+                s.undisturbed_capacity(truth.now) / work
             });
             tally.cold_serve += rate.sum::<f64>() * passed;
         }
@@ -158,7 +158,7 @@
                 Action::Subscribe => *tally.asks.entry(second).or_default() += 1,
                 Action::Send { id, endpoint, .. } => {
                     let Some(server) = truth.servers.get(endpoint.0 as usize) else { continue };
-                    let work = self.rule.work.get(server.build.tier).copied().unwrap_or(f64::INFINITY);
+                    let work = self.rule.work.get(server.spec.tier).copied().unwrap_or(f64::INFINITY);
                     if server.warmth(truth.now) < 1.0 {
                         tally.to_cold += 1;
                     }
@@ -170,7 +170,7 @@
                         continue;
                     }
                     let pushes = self.rule.multiple
-                        * server.present_capacity(truth.now)
+                        * server.undisturbed_capacity(truth.now)
                         * self.rule.window.as_secs_f64()
                         / work;
                     let sent = tally.sent_cold.entry(*endpoint).or_default();
--- a/crates/lab/src/world/answers.rs
+++ b/crates/lab/src/world/answers.rs
@@ -4,44 +4,47 @@
 
 impl World<'_> {
     /// A server's answer is at its sidecar.
-    pub(super) fn back(&mut self, key: JobKey, report: Option<LoadReport>) {
+    pub(super) fn answer_at_sidecar(&mut self, key: JobKey, report: Option<LoadReport>) {
         let Some(job) = self.jobs.get(key) else { return };
-        let (server, sidecar) = (job.server, job.sidecar);
-        if !self.reachable(sidecar, server) {
-            return self.lose(key);
+        let (endpoint, sidecar) = (job.endpoint, job.sidecar);
+        if !self.reachable(sidecar, endpoint) {
+            return self.discard_job(key);
         }
         let Some(job) = self.jobs.remove(key) else { return };
-        let Stage::Answering(outcome) = job.stage else { return };
-        if job.orphan {
-            self.book.wasted_work += job.carried;
+        let Stage::AnswerInTransit(outcome) = job.stage else { return };
+        if job.orphaned {
+            self.book.wasted_work += job.work_done;
             return;
         }
-        self.keep_connection(sidecar, server, job.process);
-        let open =
-            self.flows.get(job.flow).filter(|f| !f.answered && outcome == Outcome::Ok).map(|f| f.origin);
+        self.keep_connection(sidecar, endpoint, job.process);
+        let open = self
+            .requests
+            .get(job.request)
+            .filter(|f| !f.answered && outcome == Outcome::Ok)
+            .map(|f| f.origin);
         match open {
-            Some(Origin::Client(..)) => self.book.useful_work += job.carried,
+            Some(Origin::Client(..)) => self.book.useful_work += job.work_done,
             Some(Origin::Job(parent)) => match self.jobs.get_mut(parent) {
-                Some(parent) => parent.carried += job.carried,
-                None => self.book.wasted_work += job.carried,
+                Some(parent) => parent.work_done += job.work_done,
+                None => self.book.wasted_work += job.work_done,
             },
-            None => self.book.wasted_work += job.carried,
+            None => self.book.wasted_work += job.work_done,
         }
-        self.finish(job.flow, job.attempt, outcome, report);
+        self.finish_attempt(job.request, job.attempt, outcome, report);
     }
 
-    fn keep_connection(&mut self, sidecar: u32, server: u32, process: u32) {
-        let s = &self.servers[server as usize];
+    fn keep_connection(&mut self, sidecar: u32, endpoint: u32, process: u32) {
+        let s = &self.endpoints[endpoint as usize];
         if s.process != process {
             return;
         }
-        let side = &mut self.sidecars[sidecar as usize];
-        if side.told.contains_key(&server) {
-            let s = &mut self.servers[server as usize];
-            s.open = s.open.saturating_sub(1);
+        let sidecar_state = &mut self.sidecars[sidecar as usize];
+        if sidecar_state.notified_unready.contains_key(&endpoint) {
+            let s = &mut self.endpoints[endpoint as usize];
+            s.open_connections = s.open_connections.saturating_sub(1);
             return;
         }
-        let pool = side.pools.entry(server).or_default();
+        let pool = sidecar_state.pools.entry(endpoint).or_default();
         if pool.process != process {
             *pool = Pool { process, idle: Vec::new() };
         }
@@ -49,21 +52,21 @@
     }
 
     /// An attempt has ended: the decider is told, and whoever asked, if it was served.
-    pub(super) fn finish(
+    pub(super) fn finish_attempt(
         &mut self,
-        flow: FlowKey,
+        request: RequestKey,
         attempt: u8,
         outcome: Outcome,
         report: Option<LoadReport>,
     ) {
         let now = self.now;
-        let Some(f) = self.flows.get_mut(flow) else { return };
+        let Some(f) = self.requests.get_mut(request) else { return };
         let Some(a) = f.attempts.get_mut(usize::from(attempt)).filter(|a| a.outcome.is_none()) else {
             return;
         };
         a.outcome = Some(outcome);
         a.job = None;
-        let (server, sent) = (a.server, a.sent);
+        let (index, sent) = (a.endpoint, a.sent);
         f.outstanding -= 1;
         let sidecar = f.sidecar;
         let served = outcome == Outcome::Ok && !f.answered;
@@ -71,81 +74,84 @@
         let closed = f.answered;
         let tier = self.sidecars[sidecar as usize].tier;
         self.book.outcome(tier, outcome);
-        self.note_flow(flow, |_| format!("attempt {attempt} at server {server} ends: {outcome:?}"));
+        self.trace_request(request, |_| format!("attempt {attempt} at server {index} ends: {outcome:?}"));
         if served {
-            self.deliver(flow, Answer::Served);
+            self.deliver(request, Answer::Served);
         }
-        let endpoint = endpoint_id(server);
+        let endpoint = endpoint_id(index);
         let elapsed = Duration::from_nanos(now - sent);
-        let id = request_id(flow);
-        self.feed(sidecar, Event::Finished { id, attempt, endpoint, outcome, closed, elapsed, report });
-        self.release(flow);
+        let id = request_id(request);
+        self.deliver_event(
+            sidecar,
+            Event::Finished { id, attempt, endpoint, outcome, closed, elapsed, report },
+        );
+        self.release(request);
     }
 
     /// The time that a sidecar gave an attempt is over.
-    pub(super) fn attempt_due(&mut self, flow: FlowKey, attempt: u8) {
-        if self.abandon(flow, attempt) {
-            self.finish(flow, attempt, Outcome::TimedOut, None);
+    pub(super) fn attempt_timed_out(&mut self, request: RequestKey, attempt: u8) {
+        if self.abandon_attempt(request, attempt) {
+            self.finish_attempt(request, attempt, Outcome::TimedOut, None);
         }
     }
 
     /// A decider withdraws an attempt.
-    pub(super) fn cancel(&mut self, flow: FlowKey, attempt: u8) {
-        if self.abandon(flow, attempt) {
+    pub(super) fn cancel(&mut self, request: RequestKey, attempt: u8) {
+        if self.abandon_attempt(request, attempt) {
             let outcome = Outcome::Cancelled;
-            self.plan(self.now, Happening::Short { flow, attempt, outcome });
+            self.schedule(self.now, SimEvent::AttemptEnd { request, attempt, outcome });
         }
     }
 
     /// Nobody waits for an attempt any more: its connection is closed, and its server hears of it.
-    fn abandon(&mut self, flow: FlowKey, attempt: u8) -> bool {
-        let Some(f) = self.flows.get_mut(flow) else { return false };
+    fn abandon_attempt(&mut self, request: RequestKey, attempt: u8) -> bool {
+        let Some(f) = self.requests.get_mut(request) else { return false };
         let Some(a) = f.attempts.get_mut(usize::from(attempt)).filter(|a| a.outcome.is_none()) else {
             return false;
         };
         if let Some(key) = a.job.take() {
-            self.orphan(key);
+            self.orphan_job(key);
         }
         true
     }
 
     /// Nobody waits for a server's answer any more.
-    pub(super) fn orphan(&mut self, key: JobKey) {
+    pub(super) fn orphan_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get_mut(key) else { return };
-        job.orphan = true;
-        let (server, process) = (job.server, job.process);
-        let s = &mut self.servers[server as usize];
+        job.orphaned = true;
+        let (endpoint, process) = (job.endpoint, job.process);
+        let s = &mut self.endpoints[endpoint as usize];
         if s.process == process {
             s.advance(self.now);
-            s.open = s.open.saturating_sub(1);
+            s.open_connections = s.open_connections.saturating_sub(1);
         }
-        let there = self.one_way();
-        self.plan(self.now + there, Happening::Stop(key));
+        let delay = self.one_way();
+        self.schedule(self.now + delay, SimEvent::CancelAtEndpoint(key));
     }
 
     /// A server hears that nobody waits.
-    pub(super) fn stop_job(&mut self, key: JobKey) {
+    pub(super) fn cancel_at_endpoint(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(key) else { return };
-        let server = job.server;
-        let stops = self.servers[server as usize].build.stops_running;
+        let endpoint = job.endpoint;
+        let stops = self.endpoints[endpoint as usize].spec.stops_running;
         match job.stage {
-            Stage::Travelling => self.lose(key),
-            Stage::Waiting => {
-                self.servers[server as usize].forget_waiting(key);
-                self.lose(key);
-                self.look_at_crowd(server);
+            Stage::InTransit => self.discard_job(key),
+            Stage::Queued => {
+                self.endpoints[endpoint as usize].remove_queued(key);
+                self.discard_job(key);
+                self.check_crowding(endpoint);
             }
             Stage::Running(..) if stops => {
-                self.lose(key);
-                self.give_slot(server);
-                self.replan(server);
+                self.discard_job(key);
+                self.hand_over_slot(endpoint);
+                self.reschedule_completion(endpoint);
             }
-            Stage::Calling(call) if stops => {
-                self.lose(key);
-                self.give_slot(server);
-                self.replan(server);
+            Stage::CallingNextTier(call) if stops => {
+                self.discard_job(key);
+                self.hand_over_slot(endpoint);
+                self.reschedule_completion(endpoint);
                 if let Some(call) = call {
-                    self.depart(call);
+                    self.client_gone(call);
                 }
             }
             _ => {}
@@ -153,14 +159,14 @@
     }
 
     /// A request at a server is gone with whatever was done for it.
-    pub(super) fn lose(&mut self, key: JobKey) {
+    pub(super) fn discard_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.remove(key) else { return };
-        self.book.wasted_work += job.carried;
-        if let Stage::Running(done, part) = job.stage {
-            let s = &mut self.servers[job.server as usize];
+        self.book.wasted_work += job.work_done;
+        if let Stage::Running(done, segment) = job.stage {
+            let s = &mut self.endpoints[job.endpoint as usize];
             if s.process == job.process {
-                s.halt(self.now);
-                self.book.wasted_work += part - s.left(done);
+                s.remove_running(self.now);
+                self.book.wasted_work += segment - s.remaining_work(done);
             }
         }
     }
--- a/crates/lab/src/world/front.rs
+++ b/crates/lab/src/world/clients.rs
@@ -1,7 +1,7 @@
 //! Clients and the flows that they and servers open at sidecars: arrivals, tries, final answers, patience.
 
+use super::endpoint::Nanos;
 use super::fleet::share_of;
-use super::server::Nanos;
 use super::*;
 use crate::scenario::{Effect, What};
 use crate::score::End;
@@ -12,32 +12,32 @@
     pub(super) fn arrive(&mut self) {
         let s = self.scenario;
         let bursts = s.troubles.iter().filter(|t| t.what == What::Burst).map(|t| t.size.to.max(1.0));
-        let most = self.drawn.rate * (1.0 + s.load.swing) * bursts.fold(1.0, f64::max);
-        let gap = self.arrivals.exponential(1.0 / most);
-        let chance = self.arrivals.share();
+        let max_rate = self.parameters.rate * (1.0 + s.load.swing) * bursts.fold(1.0, f64::max);
+        let gap = self.arrivals_draw.exponential(1.0 / max_rate);
+        let chance = self.arrivals_draw.share();
         if self.now >= s.length.0 {
             return;
         }
-        self.plan(self.now + ((gap * 1e9) as Nanos).max(1), Happening::Arrive);
-        let turn = self.now as f64 / s.load.wave.0 as f64 * std::f64::consts::TAU;
-        let rate = self.drawn.rate * (1.0 + s.load.swing * libm::sin(turn)) * self.burst;
-        if self.now == 0 || chance >= rate / most {
+        self.schedule(self.now + ((gap * 1e9) as Nanos).max(1), SimEvent::Arrival);
+        let phase = self.now as f64 / s.load.wave.0 as f64 * std::f64::consts::TAU;
+        let rate = self.parameters.rate * (1.0 + s.load.swing * libm::sin(phase)) * self.load_multiple;
+        if self.now == 0 || chance >= rate / max_rate {
             return;
         }
         let number = self.next_client;
         self.next_client += 1;
         let mut draw = Draw::new(self.seed, Purpose::Request, number);
-        let class = share_of(&self.drawn.class_weights, draw.share());
+        let class = share_of(&self.parameters.class_weights, draw.share());
         let tenant =
-            if s.tenants.is_empty() { 0 } else { share_of(&self.drawn.tenant_weights, draw.share()) };
+            if s.tenants.is_empty() { 0 } else { share_of(&self.parameters.tenant_weights, draw.share()) };
         let law = s.classes[class].law;
-        let work = self.drawn.class_work[class] * draw.law(law, self.drawn.class_cv[class]);
+        let work = self.parameters.class_work[class] * draw.law(law, self.parameters.class_cv[class]);
         let give_up = s.classes[class].give_up.0;
         let varies = 1.0 + s.clients.try_varies * (2.0 * draw.share() - 1.0);
-        let patience = (give_up as f64 * (self.drawn.try_share * varies).min(1.0)) as Nanos;
-        let leaves =
-            (draw.share() < s.clients.impatient).then(|| (patience as f64 * draw.share()) as Nanos);
-        let honours = draw.share() < s.clients.honour;
+        let timeout = (give_up as f64 * (self.parameters.try_share * varies).min(1.0)) as Nanos;
+        let leaves_at =
+            (draw.share() < s.clients.impatient).then(|| (timeout as f64 * draw.share()) as Nanos);
+        let honours_retry_after = draw.share() < s.clients.honour;
         let over_share = self.over_quota(tenant);
         let client = Client {
             number,
@@ -48,17 +48,17 @@
             first_sent: self.now,
             work,
             tries: 0,
-            patience,
-            leaves: leaves.map(|after| self.now + after),
-            honours,
-            may_have_run: None,
-            flow: None,
-            written: false,
+            timeout,
+            leaves_at: leaves_at.map(|after| self.now + after),
+            honours_retry_after,
+            first_attempt_at: None,
+            request: None,
+            attempt_sent: false,
         };
         let offered: f64 = self.offered(work);
         self.book.arrived(&client_terms(&client), offered);
         let client = self.clients.insert(client);
-        self.note(number, |w| {
+        self.trace_client(number, |w| {
             let class = &w.scenario.classes[class].name;
             format!("client {number} arrives with {class}, {:.1} ms of work in all", work * 1e3)
         });
@@ -69,7 +69,7 @@
     fn offered(&self, work: f64) -> f64 {
         let mut requests = 1.0;
         let mut sum = 0.0;
-        for (tier, calls) in self.scenario.tiers.iter().zip(&self.drawn.calls) {
+        for (tier, calls) in self.scenario.tiers.iter().zip(&self.parameters.calls) {
             sum += requests * tier.work * work;
             requests *= calls;
         }
@@ -78,7 +78,7 @@
 
     /// Whether a tenant is beyond its quota now (a bucket of five seconds' worth), one more request counted.
     fn over_quota(&mut self, tenant: usize) -> bool {
-        let Some(t) = self.drawn.settings[0].tenants.get(tenant) else { return false };
+        let Some(t) = self.parameters.settings[0].tenants.get(tenant) else { return false };
         let (left, at) = &mut self.quotas[tenant];
         let passed = self.now.saturating_sub(*at) as f64 / 1e9;
         *left = (*left + t.quota_per_s * passed).min((t.quota_per_s * 5.0).max(4.0));
@@ -98,38 +98,42 @@
         let give_up = self.scenario.classes[usize::from(c.class)].give_up.0;
         if try_no > 1 {
             // A later try has what is left of the whole patience.
-            c.patience = (c.first_sent + give_up).saturating_sub(self.now);
+            c.timeout = (c.first_sent + give_up).saturating_sub(self.now);
         }
-        let due = self.now + c.patience;
-        let leaves = c.leaves.filter(|_| try_no == 1);
-        let sidecar = self.network.below(self.fronts) as u32;
-        let there = self.delay(self.scenario.network.client.0);
+        let deadline = self.now + c.timeout;
+        let leaves_at = c.leaves_at.filter(|_| try_no == 1);
+        let sidecar = self.network_draw.below(self.first_tier_sidecars) as u32;
+        let delay = self.delay(self.scenario.network.client.0);
         if !self.sidecars[sidecar as usize].alive {
             let answer = Answer::Unreachable;
-            return self.plan(self.now + 2 * there, Happening::AtClient { client, try_no, answer });
+            return self
+                .schedule(self.now + 2 * delay, SimEvent::AnswerAtClient { client, try_no, answer });
         }
         let process = self.sidecars[sidecar as usize].process;
-        self.plan(self.now + there, Happening::AtSidecar { client, try_no, sidecar, process, due });
+        self.schedule(
+            self.now + delay,
+            SimEvent::RequestAtSidecar { client, try_no, sidecar, process, deadline },
+        );
         // A final answer that is in time, on the longest way, comes before this.
-        let way = 2 * self.scenario.network.client.0 + self.scenario.rules.answer_slack.0;
-        self.plan(due + way, Happening::GiveUp { client, try_no });
-        if let Some(at) = leaves {
-            self.plan(at, Happening::Leave { client, try_no });
+        let longest_transit = 2 * self.scenario.network.client.0 + self.scenario.rules.answer_slack.0;
+        self.schedule(deadline + longest_transit, SimEvent::ClientTimeout { client, try_no });
+        if let Some(at) = leaves_at {
+            self.schedule(at, SimEvent::ClientLeaves { client, try_no });
         }
     }
 
-    pub(super) fn at_sidecar(
+    pub(super) fn request_at_sidecar(
         &mut self,
         client: ClientKey,
         try_no: u32,
         sidecar: u32,
         process: u32,
-        due: Nanos,
+        deadline: Nanos,
     ) {
         if !self.is_process(sidecar, process) {
-            let there = self.delay(self.scenario.network.client.0);
+            let delay = self.delay(self.scenario.network.client.0);
             let answer = Answer::Unreachable;
-            return self.plan(self.now + there, Happening::AtClient { client, try_no, answer });
+            return self.schedule(self.now + delay, SimEvent::AnswerAtClient { client, try_no, answer });
         }
         let Some(c) = self.clients.get(client) else { return };
         if c.tries != try_no {
@@ -137,33 +141,33 @@
         }
         let (class, tenant, work, key) = (c.class, c.tenant, c.work, c.number);
         let origin = Origin::Client(client, try_no);
-        let flow = self.open_flow(sidecar, class, tenant, due, origin, work, key);
+        let request = self.open_request(sidecar, class, tenant, deadline, origin, work, key);
         if let Some(c) = self.clients.get_mut(client) {
-            c.flow = Some(flow);
+            c.request = Some(request);
         }
-        self.note(key, |w| {
-            let left = due.saturating_sub(w.now) as f64 / 1e6;
+        self.trace_client(key, |w| {
+            let left = deadline.saturating_sub(w.now) as f64 / 1e6;
             format!("try {try_no} is at sidecar {sidecar}, {left:.0} ms left")
         });
-        self.arrived(sidecar, flow);
+        self.deliver_request(sidecar, request);
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn open_flow(
+    pub(super) fn open_request(
         &mut self,
         sidecar: u32,
         class: u16,
         tenant: u16,
-        due: Nanos,
+        deadline: Nanos,
         origin: Origin,
         work: f64,
         key: u64,
-    ) -> FlowKey {
-        let flow = Flow {
+    ) -> RequestKey {
+        let request = OpenRequest {
             sidecar,
             class,
             tenant,
-            due,
+            deadline,
             origin,
             answered: false,
             attempts: Vec::new(),
@@ -171,131 +175,133 @@
             work,
             key,
         };
-        let flow = self.flows.insert(flow);
-        self.plan(due + self.scenario.rules.answer_slack.0, Happening::Overdue { flow });
-        flow
+        let request = self.requests.insert(request);
+        self.schedule(deadline + self.scenario.rules.answer_slack.0, SimEvent::DeadlinePassed { request });
+        request
     }
 
-    pub(super) fn arrived(&mut self, sidecar: u32, flow: FlowKey) {
-        if let Some(call) = self.call_of(flow) {
-            self.feed(sidecar, Event::Arrived(call));
+    pub(super) fn deliver_request(&mut self, sidecar: u32, request: RequestKey) {
+        if let Some(call) = self.decider_request(request) {
+            self.deliver_event(sidecar, Event::Arrived(call));
         }
     }
 
     /// A decider gives a final answer.
-    pub(super) fn answer(&mut self, sidecar: u32, flow: FlowKey, answer: Answer) {
-        let Some(f) = self.flows.get_mut(flow).filter(|f| f.sidecar == sidecar && !f.answered) else {
+    pub(super) fn answer(&mut self, sidecar: u32, request: RequestKey, answer: Answer) {
+        let Some(f) = self.requests.get_mut(request).filter(|f| f.sidecar == sidecar && !f.answered) else {
             return self
                 .rules
                 .breach(Rule::OneAnswer, self.now, || "an answer for a flow that is over".into());
         };
         f.answered = true;
-        let (class, due) = (f.class, f.due);
-        let earlier: Vec<rules::Earlier> = f.attempts.iter().map(earlier).collect();
+        let (class, deadline) = (f.class, f.deadline);
+        let earlier: Vec<rules::EarlierAttempt> = f.attempts.iter().map(earlier_attempt).collect();
         if matches!(answer, Answer::Refused(_)) {
-            self.rules.refuses(self.now, class, &earlier);
+            self.rules.check_refusal(self.now, class, &earlier);
         }
-        if self.now > due + self.scenario.rules.answer_slack.0 {
+        if self.now > deadline + self.scenario.rules.answer_slack.0 {
             self.rules.breach(Rule::OneAnswer, self.now, || "a final answer came after its due".into());
         }
-        self.note_flow(flow, |_| format!("the sidecar answers: {answer:?}"));
-        self.deliver(flow, answer);
-        self.release(flow);
+        self.trace_request(request, |_| format!("the sidecar answers: {answer:?}"));
+        self.deliver(request, answer);
+        self.release(request);
     }
 
     /// Brings a final answer to whoever asked.
-    pub(super) fn deliver(&mut self, flow: FlowKey, answer: Answer) {
-        let Some(f) = self.flows.get(flow) else { return };
+    pub(super) fn deliver(&mut self, request: RequestKey, answer: Answer) {
+        let Some(f) = self.requests.get(request) else { return };
         match f.origin {
             Origin::Client(client, try_no) => {
-                let back = self.delay(self.scenario.network.client.0);
-                self.plan(self.now + back, Happening::AtClient { client, try_no, answer });
+                let delay = self.delay(self.scenario.network.client.0);
+                self.schedule(self.now + delay, SimEvent::AnswerAtClient { client, try_no, answer });
             }
-            Origin::Job(job) => self.call_done(job, answer),
+            Origin::Job(job) => self.call_finished(job, answer),
         }
     }
 
     /// Forgets a flow that is answered and has nothing out.
-    pub(super) fn release(&mut self, flow: FlowKey) {
-        if self.flows.get(flow).is_some_and(|f| f.answered && f.outstanding == 0) {
-            self.flows.remove(flow);
+    pub(super) fn release(&mut self, request: RequestKey) {
+        if self.requests.get(request).is_some_and(|f| f.answered && f.outstanding == 0) {
+            self.requests.remove(request);
         }
     }
 
     /// Whoever asked has left.
-    pub(super) fn depart(&mut self, flow: FlowKey) {
-        let Some(f) = self.flows.get_mut(flow).filter(|f| !f.answered) else { return };
+    pub(super) fn client_gone(&mut self, request: RequestKey) {
+        let Some(f) = self.requests.get_mut(request).filter(|f| !f.answered) else { return };
         f.answered = true;
         let sidecar = f.sidecar;
-        self.feed(sidecar, Event::ClientGone { id: request_id(flow) });
-        self.release(flow);
+        self.deliver_event(sidecar, Event::ClientGone { id: request_id(request) });
+        self.release(request);
     }
 
     /// The latest moment for a final answer has come.
-    pub(super) fn overdue(&mut self, flow: FlowKey) {
-        if self.flows.get(flow).is_some_and(|f| !f.answered) {
+    pub(super) fn deadline_passed(&mut self, request: RequestKey) {
+        if self.requests.get(request).is_some_and(|f| !f.answered) {
             self.rules.breach(Rule::OneAnswer, self.now, || "no final answer by its due".into());
-            let client = self.flows.get(flow).map(|f| f.origin);
-            self.depart(flow);
+            let client = self.requests.get(request).map(|f| f.origin);
+            self.client_gone(request);
             if let Some(Origin::Job(job)) = client {
-                self.call_done(job, Answer::Failed);
+                self.call_finished(job, Answer::Failed);
             }
         }
     }
 
-    pub(super) fn leave(&mut self, client: ClientKey, try_no: u32) {
+    pub(super) fn client_leaves(&mut self, client: ClientKey, try_no: u32) {
         let Some(c) = self.clients.get(client).filter(|c| c.tries == try_no) else { return };
-        let (number, flow) = (c.number, c.flow);
-        self.note(number, |_| "the client leaves early".into());
+        let (number, request) = (c.number, c.request);
+        self.trace_client(number, |_| "the client leaves early".into());
         self.end_client(client, End::Left);
-        if let Some(flow) = flow {
-            self.depart(flow);
+        if let Some(request) = request {
+            self.client_gone(request);
         }
     }
 
     /// A client's try has had no answer in its time.
-    pub(super) fn give_up(&mut self, client: ClientKey, try_no: u32) {
+    pub(super) fn client_timed_out(&mut self, client: ClientKey, try_no: u32) {
         let Some(c) = self.clients.get_mut(client).filter(|c| c.tries == try_no) else { return };
-        let flow = c.flow.take();
-        if let Some(flow) = flow {
-            self.depart(flow);
+        let request = c.request.take();
+        if let Some(request) = request {
+            self.client_gone(request);
         }
-        self.at_client(client, try_no, Answer::Failed);
+        self.answer_at_client(client, try_no, Answer::Failed);
     }
 
     /// An answer is at its client, which is content, tries again or gives up.
-    pub(super) fn at_client(&mut self, client: ClientKey, try_no: u32, answer: Answer) {
+    pub(super) fn answer_at_client(&mut self, client: ClientKey, try_no: u32, answer: Answer) {
         let Some(c) = self.clients.get_mut(client).filter(|c| c.tries == try_no) else { return };
         let number = c.number;
         let class = &self.scenario.classes[usize::from(c.class)];
         // Whatever else of this try is on its way means nothing any more.
-        c.flow = None;
+        c.request = None;
         if answer == Answer::Served {
             let took = self.now - c.first_sent;
-            self.note(number, |_| format!("served after {:.1} ms", took as f64 / 1e6));
+            self.trace_client(number, |_| format!("served after {:.1} ms", took as f64 / 1e6));
             return self.end_client(client, if took <= class.aim.0 { End::Served } else { End::Late });
         }
-        let harmless = matches!(answer, Answer::Refused(_) | Answer::Unreachable);
-        let again = match class.effect {
+        let no_effect = matches!(answer, Answer::Refused(_) | Answer::Unreachable);
+        let may_retry = match class.effect {
             Effect::Safe => true,
-            Effect::Keyed => self.now < c.may_have_run.unwrap_or(c.first_sent) + class.window.0,
-            Effect::Unsafe => harmless,
+            Effect::Keyed => self.now < c.first_attempt_at.unwrap_or(c.first_sent) + class.window.0,
+            Effect::Unsafe => no_effect,
         };
         let s = self.scenario;
         let mut draw = Draw::new(self.seed, Purpose::Request, number ^ (u64::from(try_no) << 48));
-        let mut wait = draw.length(s.clients.backoff);
+        let mut backoff = draw.length(s.clients.backoff);
         if let Answer::Refused(Some(advice)) = answer
-            && c.honours
+            && c.honours_retry_after
         {
-            wait = wait.max((advice.as_nanos() as u64).min(s.clients.max_retry_after.0));
+            backoff = backoff.max((advice.as_nanos() as u64).min(s.clients.max_retry_after.0));
         }
-        let at = self.now + wait;
-        if again && c.tries <= s.clients.retries && at < c.first_sent + class.give_up.0 {
+        let at = self.now + backoff;
+        if may_retry && c.tries <= s.clients.retries && at < c.first_sent + class.give_up.0 {
             // The number of the try to come, so that nothing of this one counts any more.
-            self.note(number, |_| format!("{answer:?}; it tries again in {:.0} ms", wait as f64 / 1e6));
-            return self.plan(at, Happening::Try(client));
+            self.trace_client(number, |_| {
+                format!("{answer:?}; it tries again in {:.0} ms", backoff as f64 / 1e6)
+            });
+            return self.schedule(at, SimEvent::RetryDue(client));
         }
-        self.note(number, |_| format!("{answer:?}; it gives up"));
+        self.trace_client(number, |_| format!("{answer:?}; it gives up"));
         let end = match answer {
             Answer::Refused(_) => End::Refused,
             _ => End::Failed,
@@ -321,6 +327,6 @@
 }
 
 /// An attempt as the rule on repeats sees it.
-pub(super) fn earlier(a: &Attempt) -> rules::Earlier {
+pub(super) fn earlier_attempt(a: &Attempt) -> rules::EarlierAttempt {
     (a.sent, a.outcome.map(Outcome::never_ran))
 }
--- a/crates/lab/src/world/server.rs
+++ b/crates/lab/src/world/endpoint.rs
@@ -6,7 +6,7 @@
 //! clock has gone on by `w` since it began. So a change of rate costs nothing per request.
 
 use super::JobKey;
-pub use super::build::{Build, Crowding};
+pub use super::spec::{CrowdingSpec, EndpointSpec};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
@@ -28,11 +28,11 @@
 
 /// What happens with a request that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Entry {
+pub enum Admission {
     /// It is in work.
-    Working,
+    InService,
     /// It waits for a slot.
-    Waiting,
+    Queued,
     /// It is turned away unseen.
     Full,
 }
@@ -50,9 +50,9 @@
 
 /// A server.
 #[derive(Debug)]
-pub struct Server {
+pub struct EmulatedEndpoint {
     /// What it is made of.
-    pub build: Build,
+    pub spec: EndpointSpec,
     /// What its process is doing.
     pub life: Life,
     /// When its process last started; `None` for long ago.
@@ -60,67 +60,67 @@
     /// Counts its processes: what belongs to an earlier one is void.
     pub process: u32,
     /// Times slower for troubles of its own and shared ones.
-    pub slowed: f64,
+    pub slowdown: f64,
     /// Share of requests that fail at once.
-    pub failing: f64,
+    pub error_share: f64,
     /// It takes work and finishes none, and reports well.
     pub gray: bool,
     /// Open connections.
-    pub open: usize,
+    pub open_connections: usize,
     /// Since when it is slowed by crowding.
-    pub choked: Option<Nanos>,
+    pub slowed_since: Option<Nanos>,
     crowded_since: Option<Nanos>,
     idle_since: Option<Nanos>,
     /// Requests that run, waiting for none but the cores.
     running: usize,
     /// Requests that hold a slot, calling the next tier included.
-    held: usize,
+    occupied_slots: usize,
     waiting: VecDeque<JobKey>,
-    clock: f64,
-    clock_at: Nanos,
+    service_clock: f64,
+    service_clock_at: Nanos,
     /// The service rate of each running request since the last change of plan.
-    pace: f64,
-    finishes: BinaryHeap<Reverse<(u64, JobKey)>>,
+    service_rate: f64,
+    completions: BinaryHeap<Reverse<(u64, JobKey)>>,
     /// Counts the changes of plan: an event of an earlier plan is void.
-    pub plan: u32,
+    pub schedule_version: u32,
     /// Core seconds in use since the start.
-    pub busy: f64,
+    pub busy_core_seconds: f64,
     /// Requests completed since the start.
     pub completed: u64,
     /// Work done since the start, in seconds of a core of speed 1.
     pub worked: f64,
     readings: [Reading; 2],
-    read: (Nanos, f64, u64),
+    last_reading: (Nanos, f64, u64),
 }
 
-impl Server {
+impl EmulatedEndpoint {
     /// An idle server.
-    pub fn new(build: Build, started: Option<Nanos>, now: Nanos) -> Server {
-        Server {
-            build,
+    pub fn new(spec: EndpointSpec, started: Option<Nanos>, now: Nanos) -> EmulatedEndpoint {
+        EmulatedEndpoint {
+            spec,
             life: Life::Up,
             started,
             process: 0,
-            slowed: 1.0,
-            failing: 0.0,
+            slowdown: 1.0,
+            error_share: 0.0,
             gray: false,
-            open: 0,
-            choked: None,
+            open_connections: 0,
+            slowed_since: None,
             crowded_since: None,
             idle_since: Some(now),
             running: 0,
-            held: 0,
+            occupied_slots: 0,
             waiting: VecDeque::new(),
-            clock: 0.0,
-            clock_at: now,
-            pace: 0.0,
-            finishes: BinaryHeap::new(),
-            plan: 0,
-            busy: 0.0,
+            service_clock: 0.0,
+            service_clock_at: now,
+            service_rate: 0.0,
+            completions: BinaryHeap::new(),
+            schedule_version: 0,
+            busy_core_seconds: 0.0,
             completed: 0,
             worked: 0.0,
             readings: [Reading::default(); 2],
-            read: (now, 0.0, 0),
+            last_reading: (now, 0.0, 0),
         }
     }
 
@@ -128,90 +128,92 @@
     pub fn warmth(&self, now: Nanos) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let age = now.saturating_sub(started) as f64 / 1e9;
-        if age >= self.build.cold_for {
+        if age >= self.spec.cold_for {
             return 1.0;
         }
-        self.build.cold_from + (1.0 - self.build.cold_from) * age / self.build.cold_for
+        self.spec.cold_from + (1.0 - self.spec.cold_from) * age / self.spec.cold_for
     }
 
     /// Work a second that it can do now, all cores together, in seconds of a core of speed 1.
     pub fn capacity(&self, now: Nanos) -> f64 {
-        let b = &self.build;
-        let crowd = (self.held as f64 / b.cores - b.thrash_at).max(0.0);
-        let table = self.open as f64 / b.connections.max(1) as f64;
-        let choke = match (self.choked, &b.choke) {
-            (Some(_), Some(c)) => c.slower,
+        let b = &self.spec;
+        let crowd = (self.occupied_slots as f64 / b.cores - b.thrash_at).max(0.0);
+        let table = self.open_connections as f64 / b.connections.max(1) as f64;
+        let choke = match (self.slowed_since, &b.choke) {
+            (Some(_), Some(c)) => c.slowdown,
             _ => 1.0,
         };
         let gray = if self.gray { 1e-6 } else { 1.0 };
         b.cores * b.speed * self.warmth(now) * gray * (1.0 - b.full_tax * table.min(1.0))
-            / ((1.0 + b.thrash * crowd) * self.slowed * choke)
+            / ((1.0 + b.thrash * crowd) * self.slowdown * choke)
     }
 
     /// What it could do if nothing but its warmth held it back: the measure of the rule on cold servers.
-    pub fn present_capacity(&self, now: Nanos) -> f64 {
-        self.build.cores * self.build.speed * self.warmth(now)
+    pub fn undisturbed_capacity(&self, now: Nanos) -> f64 {
+        self.spec.cores * self.spec.speed * self.warmth(now)
     }
 
     /// Requests in work or waiting.
-    pub fn holds(&self) -> usize {
-        self.held + self.waiting.len()
+    pub fn occupancy(&self) -> usize {
+        self.occupied_slots + self.waiting.len()
     }
 
     /// Requests that want a core.
-    pub fn wants_core(&self) -> usize {
+    pub fn runnable(&self) -> usize {
         self.running + self.waiting.len()
     }
 
     /// The service rate of each running request.
     fn rate(&self, now: Nanos) -> f64 {
-        self.capacity(now) / self.build.cores * (self.build.cores / self.running.max(1) as f64).min(1.0)
+        self.capacity(now) / self.spec.cores * (self.spec.cores / self.running.max(1) as f64).min(1.0)
     }
 
     /// Brings the service clock up to a time, at the rate of the last change of plan: what changes the rate in
     /// between (warmth, connections) takes hold with the next one.
     pub fn advance(&mut self, now: Nanos) {
-        let passed = now.saturating_sub(self.clock_at) as f64 / 1e9;
+        let passed = now.saturating_sub(self.service_clock_at) as f64 / 1e9;
         if self.running > 0 && passed > 0.0 {
-            self.clock += self.pace * passed;
-            self.worked += self.pace * passed * self.running as f64;
-            self.busy += passed * self.build.cores.min(self.running as f64);
+            self.service_clock += self.service_rate * passed;
+            self.worked += self.service_rate * passed * self.running as f64;
+            self.busy_core_seconds += passed * self.spec.cores.min(self.running as f64);
         }
-        self.clock_at = now;
+        self.service_clock_at = now;
     }
 
     /// When the next running request is done, if nothing changes; `alive` tells whether a key still runs.
-    pub fn next_finish(&mut self, alive: impl Fn(JobKey) -> bool) -> Option<Nanos> {
-        self.pace = self.rate(self.clock_at);
-        while let Some(&Reverse((at, job))) = self.finishes.peek() {
-            if alive(job) {
-                let left = (f64::from_bits(at) - self.clock).max(0.0);
-                let wait = left / self.pace * 1e9;
+    pub fn next_completion(&mut self, is_running: impl Fn(JobKey) -> bool) -> Option<Nanos> {
+        self.service_rate = self.rate(self.service_clock_at);
+        while let Some(&Reverse((at, job))) = self.completions.peek() {
+            if is_running(job) {
+                let left = (f64::from_bits(at) - self.service_clock).max(0.0);
+                let wait = left / self.service_rate * 1e9;
                 // Rounded up, so that it is done by then; a thousandth of a nanosecond is rounding error.
-                return Some(self.clock_at.saturating_add((wait - 1e-3).ceil().clamp(0.0, 1e18) as u64));
+                return Some(
+                    self.service_clock_at.saturating_add((wait - 1e-3).ceil().clamp(0.0, 1e18) as u64),
+                );
             }
-            self.finishes.pop();
+            self.completions.pop();
         }
         None
     }
 
     /// The running request that is done by now, taken from the cores but not from its slot.
-    pub fn take_finished(&mut self, now: Nanos, alive: impl Fn(JobKey) -> bool) -> Option<JobKey> {
+    pub fn take_finished(&mut self, now: Nanos, is_running: impl Fn(JobKey) -> bool) -> Option<JobKey> {
         self.advance(now);
-        while let Some(&Reverse((at, job))) = self.finishes.peek() {
-            if !alive(job) {
-                self.finishes.pop();
+        while let Some(&Reverse((at, job))) = self.completions.peek() {
+            if !is_running(job) {
+                self.completions.pop();
                 continue;
             }
             // A clock of seconds in double precision is exact to well below a nanosecond of work.
-            if f64::from_bits(at) > self.clock + 1e-9 * self.pace {
+            if f64::from_bits(at) > self.service_clock + 1e-9 * self.service_rate {
                 return None;
             }
-            self.finishes.pop();
+            self.completions.pop();
             self.running -= 1;
             // Times are whole nanoseconds: what the cores did for it beyond its end was done for nobody.
-            self.worked -= self.clock - f64::from_bits(at);
-            self.pace = self.rate(now);
+            self.worked -= self.service_clock - f64::from_bits(at);
+            self.service_rate = self.rate(now);
             return Some(job);
         }
         None
@@ -222,110 +224,110 @@
     pub fn run(&mut self, now: Nanos, job: JobKey, work: f64) -> f64 {
         self.advance(now);
         self.running += 1;
-        let done = self.clock + work.max(0.0);
-        self.finishes.push(Reverse((done.to_bits(), job)));
-        self.pace = self.rate(now);
+        let done = self.service_clock + work.max(0.0);
+        self.completions.push(Reverse((done.to_bits(), job)));
+        self.service_rate = self.rate(now);
         done
     }
 
     /// Work that a running request still has ahead of it, given the reading at which it is done.
-    pub fn left(&self, done: f64) -> f64 {
-        (done - self.clock).max(0.0)
+    pub fn remaining_work(&self, done: f64) -> f64 {
+        (done - self.service_clock).max(0.0)
     }
 
     /// Takes a running request off the cores before it is done; its key must be dead from now on.
-    pub fn halt(&mut self, now: Nanos) {
+    pub fn remove_running(&mut self, now: Nanos) {
         self.advance(now);
         self.running = self.running.saturating_sub(1);
-        self.pace = self.rate(now);
+        self.service_rate = self.rate(now);
     }
 
     /// Lets a request in: into a slot, into the waiting room, or not at all.
-    pub fn enter(&mut self, job: JobKey) -> Entry {
-        if self.held < self.build.slots {
-            self.held += 1;
-            Entry::Working
-        } else if self.waiting.len() < self.build.room {
+    pub fn admit(&mut self, job: JobKey) -> Admission {
+        if self.occupied_slots < self.spec.slots {
+            self.occupied_slots += 1;
+            Admission::InService
+        } else if self.waiting.len() < self.spec.queue_capacity {
             self.waiting.push_back(job);
-            Entry::Waiting
+            Admission::Queued
         } else {
-            Entry::Full
+            Admission::Full
         }
     }
 
     /// Gives a slot back; the request that has waited for longest takes it.
-    pub fn leave(&mut self) -> Option<JobKey> {
+    pub fn release_slot(&mut self) -> Option<JobKey> {
         match self.waiting.pop_front() {
             Some(next) => Some(next),
             None => {
-                self.held = self.held.saturating_sub(1);
+                self.occupied_slots = self.occupied_slots.saturating_sub(1);
                 None
             }
         }
     }
 
     /// Takes a request out of the waiting room.
-    pub fn forget_waiting(&mut self, job: JobKey) {
+    pub fn remove_queued(&mut self, job: JobKey) {
         self.waiting.retain(|&other| other != job);
     }
 
     /// The process ends: whatever it held is void.
-    pub fn stop(&mut self, now: Nanos, life: Life) {
+    pub fn stop_process(&mut self, now: Nanos, life: Life) {
         self.advance(now);
         self.life = life;
         self.process += 1;
-        self.plan += 1;
-        (self.running, self.held, self.open) = (0, 0, 0);
+        self.schedule_version += 1;
+        (self.running, self.occupied_slots, self.open_connections) = (0, 0, 0);
         self.waiting.clear();
-        self.finishes.clear();
-        (self.choked, self.crowded_since, self.idle_since) = (None, None, Some(now));
+        self.completions.clear();
+        (self.slowed_since, self.crowded_since, self.idle_since) = (None, None, Some(now));
         self.readings = [Reading::default(); 2];
-        self.read = (now, self.busy, self.completed);
+        self.last_reading = (now, self.busy_core_seconds, self.completed);
     }
 
     /// A new process starts, cold.
-    pub fn start(&mut self, now: Nanos) {
-        (self.life, self.started, self.clock_at) = (Life::Up, Some(now), now);
+    pub fn start_process(&mut self, now: Nanos) {
+        (self.life, self.started, self.service_clock_at) = (Life::Up, Some(now), now);
     }
 
     /// Looks whether crowding begins or ends; to be called at each change and once in a while. Returns whether
     /// the rate has changed.
-    pub fn look_at_crowd(&mut self, now: Nanos) -> bool {
-        let Some(c) = self.build.choke else { return false };
-        let waiting = self.wants_core().saturating_sub(self.build.cores as usize) as f64;
-        if let Some(since) = self.choked {
+    pub fn check_crowding(&mut self, now: Nanos) -> bool {
+        let Some(c) = self.spec.choke else { return false };
+        let waiting = self.runnable().saturating_sub(self.spec.cores as usize) as f64;
+        if let Some(since) = self.slowed_since {
             // "Mostly idle": no core is wanted for more than the stated share. The waiting line stands in for
             // the utilisation of the moment, over the time that it has been so.
-            let idle = (self.running as f64 / self.build.cores) < c.below.max(1e-9);
+            let idle = (self.running as f64 / self.spec.cores) < c.idle_utilization.max(1e-9);
             self.idle_since = if idle { self.idle_since.or(Some(now)) } else { None };
-            let rested = self.idle_since.is_some_and(|at| now.saturating_sub(at) >= c.rest);
-            if rested || now.saturating_sub(since) >= c.most {
+            let rested = self.idle_since.is_some_and(|at| now.saturating_sub(at) >= c.idle_time);
+            if rested || now.saturating_sub(since) >= c.max_duration {
                 self.advance(now);
-                (self.choked, self.crowded_since, self.idle_since) = (None, None, None);
+                (self.slowed_since, self.crowded_since, self.idle_since) = (None, None, None);
                 return true;
             }
             return false;
         }
-        if waiting <= c.waiting * self.build.cores {
+        if waiting <= c.queue_per_core * self.spec.cores {
             self.crowded_since = None;
             return false;
         }
         let since = *self.crowded_since.get_or_insert(now);
-        if now.saturating_sub(since) >= c.over {
+        if now.saturating_sub(since) >= c.begins_after {
             self.advance(now);
-            (self.choked, self.idle_since) = (Some(now), None);
+            (self.slowed_since, self.idle_since) = (Some(now), None);
             return true;
         }
         false
     }
 
     /// When crowding should be looked at again.
-    pub fn look_again(&self) -> Option<Nanos> {
-        let c = self.build.choke?;
-        match (self.choked, self.crowded_since, self.idle_since) {
-            (Some(since), _, Some(idle)) => Some((idle + c.rest).min(since + c.most)),
-            (Some(since), ..) => Some(since + c.most),
-            (None, Some(since), _) => Some(since + c.over),
+    pub fn next_crowding_check(&self) -> Option<Nanos> {
+        let c = self.spec.choke?;
+        match (self.slowed_since, self.crowded_since, self.idle_since) {
+            (Some(since), _, Some(idle)) => Some((idle + c.idle_time).min(since + c.max_duration)),
+            (Some(since), ..) => Some(since + c.max_duration),
+            (None, Some(since), _) => Some(since + c.begins_after),
             _ => None,
         }
     }
@@ -339,14 +341,16 @@
         noise: impl FnMut() -> f64,
     ) -> Reading {
         self.advance(now);
-        let (at, busy, completed) = self.read;
+        let (at, busy_core_seconds, completed) = self.last_reading;
         let mut noise = noise;
         if now >= at + period.max(1_000_000) {
             let passed = (now - at) as f64 / 1e9;
-            let utilization = ((self.busy - busy) / (passed * self.build.cores) * noise()).clamp(0.0, 1.0);
+            let utilization = ((self.busy_core_seconds - busy_core_seconds) / (passed * self.spec.cores)
+                * noise())
+            .clamp(0.0, 1.0);
             let rate = (self.completed - completed) as f64 / passed * noise();
             self.readings = [Reading { at: now, rate, utilization }, self.readings[0]];
-            self.read = (now, self.busy, self.completed);
+            self.last_reading = (now, self.busy_core_seconds, self.completed);
         }
         let [new, old] = self.readings;
         if self.gray {
--- a/crates/lab/src/world/fleet.rs
+++ b/crates/lab/src/world/fleet.rs
@@ -1,53 +1,53 @@
 //! The fleet as a seed draws it, and what each tier's deciders are told of it.
 
-use super::Drawn;
-use super::server::{Build, Crowding, Server};
+use super::DrawnParameters;
+use super::endpoint::{CrowdingSpec, EmulatedEndpoint, EndpointSpec};
 use crate::draw::Draw;
 use crate::scenario::{Effect, Kind, Scenario};
 use cottonpoint_decide as decide;
 
 /// Draws the servers of all tiers and the figures of the day.
-pub(super) fn draw(s: &Scenario, draw: &mut Draw) -> (Vec<Server>, Drawn) {
+pub(super) fn draw(s: &Scenario, draw: &mut Draw) -> (Vec<EmulatedEndpoint>, DrawnParameters) {
     let class_weights: Vec<f64> = s.classes.iter().map(|c| draw.span(c.share)).collect();
     let class_work: Vec<f64> = s.classes.iter().map(|c| draw.length(c.work) as f64 / 1e9).collect();
     let class_cv: Vec<f64> = s.classes.iter().map(|c| draw.span(c.cv)).collect();
     let class_noise: Vec<f64> = s.classes.iter().map(|c| draw.span(c.noise)).collect();
     let total: f64 = class_weights.iter().sum::<f64>().max(1e-9);
     let mean_work: f64 = class_weights.iter().zip(&class_work).map(|(w, x)| w / total * x).sum();
-    let mut servers = Vec::new();
+    let mut endpoints = Vec::new();
     let mut calls = Vec::new();
     let mut report = Vec::new();
     // Requests of a tier for each request of a client, and what the tier that runs out first can do.
-    let (mut requests, mut most) = (1.0, f64::INFINITY);
+    let (mut requests, mut max_rate) = (1.0, f64::INFINITY);
     for (t, tier) in s.tiers.iter().enumerate() {
         let count = draw.span(tier.servers).round().max(1.0) as usize;
         let weights: Vec<f64> = tier.kinds.iter().map(|k| draw.span(k.share)).collect();
         let speeds: Vec<f64> = tier.kinds.iter().map(|k| draw.span(k.speed)).collect();
-        let figures: Vec<Build> =
-            tier.kinds.iter().enumerate().map(|(k, kind)| build(t, k, kind, draw)).collect();
+        let specs: Vec<EndpointSpec> =
+            tier.kinds.iter().enumerate().map(|(k, kind)| draw_spec(t, k, kind, draw)).collect();
         let mut capacity = 0.0;
         for i in 0..count {
             let k = share_of(&weights, (i as f64 + 0.5) / count as f64);
             let cv = draw.span(tier.kinds[k].speed_cv);
-            let mut build = figures[k].clone();
-            build.speed = speeds[k] * draw.around_one(cv);
-            build.connections = (tier.connections.cap * build.cores).max(1.0) as usize;
-            build.full_tax = tier.connections.full_tax;
-            build.choke = tier.choke.as_ref().map(|c| Crowding::draw(c, draw));
-            capacity += build.cores * build.speed;
-            servers.push(Server::new(build, None, 0));
+            let mut spec = specs[k].clone();
+            spec.speed = speeds[k] * draw.around_one(cv);
+            spec.connections = (tier.connections.cap * spec.cores).max(1.0) as usize;
+            spec.full_tax = tier.connections.full_tax;
+            spec.choke = tier.choke.as_ref().map(|c| CrowdingSpec::draw(c, draw));
+            capacity += spec.cores * spec.speed;
+            endpoints.push(EmulatedEndpoint::new(spec, None, 0));
         }
-        let each = draw.span(tier.calls);
-        most = most.min(capacity / (mean_work * tier.work * requests).max(1e-12));
-        requests *= each;
-        calls.push(each);
+        let calls_per_request = draw.span(tier.calls);
+        max_rate = max_rate.min(capacity / (mean_work * tier.work * requests).max(1e-12));
+        requests *= calls_per_request;
+        calls.push(calls_per_request);
         report.push(tier.report.map(|r| (draw.length(r.period), draw.length(r.delay), draw.span(r.noise))));
     }
-    let rate = s.load.rate.unwrap_or_else(|| draw.span(s.load.of_capacity.unwrap_or_default()) * most);
+    let rate = s.load.rate.unwrap_or_else(|| draw.span(s.load.of_capacity.unwrap_or_default()) * max_rate);
     let quota = draw.span(s.load.quota);
     let usage: Vec<f64> = s.tenants.iter().map(|t| t.share * draw.span(t.usage)).collect();
-    let settings = (0..s.tiers.len()).map(|t| settings(s, t, quota * most)).collect();
-    let drawn = Drawn {
+    let settings = (0..s.tiers.len()).map(|t| settings(s, t, quota * max_rate)).collect();
+    let parameters = DrawnParameters {
         settings,
         class_weights,
         class_work,
@@ -59,7 +59,7 @@
         calls,
         report,
     };
-    (servers, drawn)
+    (endpoints, parameters)
 }
 
 /// The index of the weight that a share of their sum falls into.
@@ -74,15 +74,15 @@
     weights.len().saturating_sub(1)
 }
 
-fn build(tier: usize, number: usize, kind: &Kind, draw: &mut Draw) -> Build {
+fn draw_spec(tier: usize, number: usize, kind: &Kind, draw: &mut Draw) -> EndpointSpec {
     let cores = f64::from(kind.cores);
-    Build {
+    EndpointSpec {
         tier,
         kind: number,
         cores,
         speed: 1.0,
         slots: ((draw.span(kind.slots) * cores).round() as usize).max(1),
-        room: (draw.span(kind.queue) * cores).round() as usize,
+        queue_capacity: (draw.span(kind.queue) * cores).round() as usize,
         thrash: draw.span(kind.thrash),
         thrash_at: draw.span(kind.thrash_at),
         cold_from: draw.span(kind.cold_from),
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -4,27 +4,27 @@
 //! rank goes first (answers before those who give up waiting for them), then the one that
 //! was planned first. Memory follows what is open at the moment, never how much has passed.
 
-mod agenda;
 mod answers;
-mod build;
+mod calendar;
+mod clients;
 mod cold;
-mod feed;
+mod deciders;
+mod delayed_view;
+pub mod endpoint;
 mod fleet;
-mod front;
-mod late;
-mod life;
+mod lifecycle;
 mod listing;
-mod played;
+mod result;
 mod rules;
-pub mod server;
+mod spec;
 mod troubles;
 mod work;
 
-use agenda::{Agenda, Answer, Happening};
+use calendar::{Answer, EventCalendar, SimEvent};
+pub use delayed_view::EndpointView;
 pub use fleet::share_of;
-pub use late::View;
-pub use played::Played;
-pub use rules::{Breach, Rule, stands};
+pub use result::Played;
+pub use rules::{Breach, Rule, tolerated_requests};
 
 use crate::draw::{Draw, Purpose};
 use crate::policies::{Decider, Truth};
@@ -34,16 +34,16 @@
     Action, ClassId, EndpointId, Event, ListKind, LoadReport, Outcome, Request, RequestId, Settings,
     TenantId, Time, TimerToken,
 };
+use endpoint::{EmulatedEndpoint, Nanos};
 use rules::Rules;
 use rustc_hash::FxHashMap;
-use server::{Nanos, Server};
 use slotmap::{Key, KeyData, SlotMap, new_key_type};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 new_key_type! {
     /// A request at a sidecar.
-    pub struct FlowKey;
+    pub struct RequestKey;
     /// A request at a server.
     pub struct JobKey;
     /// A client with all its tries.
@@ -51,7 +51,7 @@
 }
 
 /// Where the deciders' clock stands at the start of a day: later than any start "long ago".
-const START: u64 = 1 << 50;
+const DECIDER_CLOCK_START_NS: u64 = 1 << 50;
 
 /// Who asked a sidecar.
 #[derive(Clone, Copy, Debug)]
@@ -64,18 +64,18 @@
 #[derive(Clone, Debug)]
 struct Attempt {
     job: Option<JobKey>,
-    server: u32,
+    endpoint: u32,
     sent: Nanos,
     outcome: Option<Outcome>,
 }
 
 /// A request at a sidecar.
 #[derive(Clone, Debug)]
-struct Flow {
+struct OpenRequest {
     sidecar: u32,
     class: u16,
     tenant: u16,
-    due: Nanos,
+    deadline: Nanos,
     origin: Origin,
     answered: bool,
     attempts: Vec<Attempt>,
@@ -88,36 +88,36 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    Travelling,
-    Waiting,
+    InTransit,
+    Queued,
     /// Running; the reading of the server's clock at which it is done, and the work of this part.
     Running(f64, f64),
-    Calling(Option<FlowKey>),
+    CallingNextTier(Option<RequestKey>),
     /// Its answer is on the way.
-    Answering(Outcome),
+    AnswerInTransit(Outcome),
 }
 
 /// A request at a server.
 #[derive(Clone, Debug)]
 struct Job {
-    flow: FlowKey,
+    request: RequestKey,
     attempt: u8,
-    server: u32,
+    endpoint: u32,
     process: u32,
     sidecar: u32,
     stage: Stage,
     /// Nobody waits for it any more.
-    orphan: bool,
+    orphaned: bool,
     new_connection: bool,
-    before: f64,
-    after: f64,
+    work_before_calls: f64,
+    work_after_calls: f64,
     calls_left: u8,
     ordinal: u8,
     /// Work done for it so far, in all tiers.
-    carried: f64,
+    work_done: f64,
     class: u16,
     tenant: u16,
-    due: Nanos,
+    deadline: Nanos,
     work: f64,
     key: u64,
 }
@@ -133,27 +133,27 @@
     first_sent: Nanos,
     work: f64,
     tries: u32,
-    patience: Nanos,
-    leaves: Option<Nanos>,
-    honours: bool,
-    may_have_run: Option<Nanos>,
-    flow: Option<FlowKey>,
-    written: bool,
+    timeout: Nanos,
+    leaves_at: Option<Nanos>,
+    honours_retry_after: bool,
+    first_attempt_at: Option<Nanos>,
+    request: Option<RequestKey>,
+    attempt_sent: bool,
 }
 
 /// A sidecar as the world knows it.
-struct Side {
+struct SidecarState {
     tier: usize,
-    me: u32,
+    index_in_tier: u32,
     alive: bool,
     process: u32,
     decider: Box<dyn Decider>,
-    known: FxHashMap<u32, (cottonpoint_decide::EndpointState, Option<Nanos>)>,
-    told: FxHashMap<u32, Nanos>,
+    known_ready: FxHashMap<u32, (cottonpoint_decide::EndpointState, Option<Nanos>)>,
+    notified_unready: FxHashMap<u32, Nanos>,
     pools: FxHashMap<u32, Pool>,
     subscribed: bool,
-    asked_at: Nanos,
-    asks_failed: bool,
+    last_list_at: Nanos,
+    poll_failed: bool,
 }
 
 /// Idle connections of one sidecar to one process of one server.
@@ -164,14 +164,14 @@
 }
 
 /// A cut between some sidecars and some servers, by index.
-struct Cut {
+struct Partition {
     trouble: u32,
     sidecars: Vec<bool>,
-    servers: Vec<bool>,
+    endpoints: Vec<bool>,
 }
 
 /// What of the fleet is as drawn.
-struct Drawn {
+struct DrawnParameters {
     settings: Vec<Settings>,
     class_weights: Vec<f64>,
     class_work: Vec<f64>,
@@ -192,123 +192,123 @@
 pub struct World<'a> {
     scenario: &'a Scenario,
     seed: u64,
-    maker: Maker<'a>,
+    make_decider: Maker<'a>,
     now: Nanos,
-    agenda: Agenda,
+    calendar: EventCalendar,
     happened: u64,
     decisions: u64,
-    servers: Vec<Server>,
-    sidecars: Vec<Side>,
+    endpoints: Vec<EmulatedEndpoint>,
+    sidecars: Vec<SidecarState>,
     /// Sidecars of the first tier, which come first.
-    fronts: usize,
+    first_tier_sidecars: usize,
     /// The sidecar beside a server, if it calls a further tier.
-    beside: FxHashMap<u32, u32>,
+    sidecar_of: FxHashMap<u32, u32>,
     registry: Vec<BTreeMap<u32, (cottonpoint_decide::EndpointState, Option<Nanos>)>>,
     listed_at: FxHashMap<u32, Nanos>,
-    flows: SlotMap<FlowKey, Flow>,
+    requests: SlotMap<RequestKey, OpenRequest>,
     jobs: SlotMap<JobKey, Job>,
     clients: SlotMap<ClientKey, Client>,
-    arrivals: Draw,
-    network: Draw,
-    listing: Draw,
-    noise: Draw,
-    drawn: Drawn,
+    arrivals_draw: Draw,
+    network_draw: Draw,
+    listing_draw: Draw,
+    noise_draw: Draw,
+    parameters: DrawnParameters,
     quotas: Vec<(f64, Nanos)>,
     next_client: u64,
-    outages: u32,
-    burst: f64,
-    cuts: Vec<Cut>,
-    struck: BTreeMap<u32, Vec<u32>>,
-    pressures: FxHashMap<u32, cold::Pressure>,
+    active_outages: u32,
+    load_multiple: f64,
+    partitions: Vec<Partition>,
+    affected: BTreeMap<u32, Vec<u32>>,
+    cold_load: FxHashMap<u32, cold::RecentLoad>,
     /// Servers that were pushed over: they stay down.
-    fallen: Vec<u32>,
+    overloaded: Vec<u32>,
     /// The true state a while ago, where a decider looks at it.
-    late: Option<late::Views>,
+    delayed_views: Option<delayed_view::ViewHistory>,
     rules: Rules,
     book: Book,
-    spare: Vec<Vec<Action>>,
+    action_buffers: Vec<Vec<Action>>,
     /// Which client's life is written down, and what was.
     traced: Option<u64>,
     trace: Vec<String>,
 }
 
-fn request_id(flow: FlowKey) -> RequestId {
-    RequestId(flow.data().as_ffi())
+fn request_id(request: RequestKey) -> RequestId {
+    RequestId(request.data().as_ffi())
 }
 
-fn flow_key(id: RequestId) -> FlowKey {
-    FlowKey::from(KeyData::from_ffi(id.0))
+fn request_key(id: RequestId) -> RequestKey {
+    RequestKey::from(KeyData::from_ffi(id.0))
 }
 
-fn endpoint_id(server: u32) -> EndpointId {
-    EndpointId(u64::from(server))
+fn endpoint_id(endpoint: u32) -> EndpointId {
+    EndpointId(u64::from(endpoint))
 }
 
 fn decider_time(at: Nanos) -> Time {
-    Time(START + at)
+    Time(DECIDER_CLOCK_START_NS + at)
 }
 
 impl<'a> World<'a> {
     /// A day that has not begun. `maker` makes the decider of each sidecar.
-    pub fn new(scenario: &'a Scenario, seed: u64, maker: Maker<'a>) -> World<'a> {
+    pub fn new(scenario: &'a Scenario, seed: u64, make_decider: Maker<'a>) -> World<'a> {
         let mut fleet = Draw::new(seed, Purpose::Fleet, 0);
-        let (servers, drawn) = fleet::draw(scenario, &mut fleet);
+        let (endpoints, parameters) = fleet::draw(scenario, &mut fleet);
         let tiers = scenario.tiers.len();
         let mut world = World {
             scenario,
             seed,
-            maker,
+            make_decider,
             now: 0,
-            agenda: Agenda::default(),
+            calendar: EventCalendar::default(),
             happened: 0,
             decisions: 0,
             quotas: vec![(f64::INFINITY, 0); scenario.tenants.len()],
             book: Book::new(scenario),
-            late: None,
+            delayed_views: None,
             rules: Rules::new(scenario),
-            servers,
+            endpoints,
             sidecars: Vec::new(),
-            fronts: 0,
-            beside: FxHashMap::default(),
+            first_tier_sidecars: 0,
+            sidecar_of: FxHashMap::default(),
             registry: vec![BTreeMap::new(); tiers],
             listed_at: FxHashMap::default(),
-            flows: SlotMap::with_key(),
+            requests: SlotMap::with_key(),
             jobs: SlotMap::with_key(),
             clients: SlotMap::with_key(),
-            arrivals: Draw::new(seed, Purpose::Arrivals, 0),
-            network: Draw::new(seed, Purpose::Network, 0),
-            listing: Draw::new(seed, Purpose::Discovery, 0),
-            noise: Draw::new(seed, Purpose::Reports, 0),
-            drawn,
+            arrivals_draw: Draw::new(seed, Purpose::Arrivals, 0),
+            network_draw: Draw::new(seed, Purpose::Network, 0),
+            listing_draw: Draw::new(seed, Purpose::Discovery, 0),
+            noise_draw: Draw::new(seed, Purpose::Reports, 0),
+            parameters,
             next_client: 0,
-            outages: 0,
-            burst: 1.0,
-            cuts: Vec::new(),
-            struck: BTreeMap::new(),
-            pressures: FxHashMap::default(),
-            fallen: Vec::new(),
-            spare: Vec::new(),
+            active_outages: 0,
+            load_multiple: 1.0,
+            partitions: Vec::new(),
+            affected: BTreeMap::new(),
+            cold_load: FxHashMap::default(),
+            overloaded: Vec::new(),
+            action_buffers: Vec::new(),
             traced: None,
             trace: Vec::new(),
         };
-        for server in 0..world.servers.len() {
-            let tier = world.servers[server].build.tier;
+        for endpoint in 0..world.endpoints.len() {
+            let tier = world.endpoints[endpoint].spec.tier;
             let listed = (cottonpoint_decide::EndpointState::Ready, None);
-            world.registry[tier].insert(server as u32, listed);
+            world.registry[tier].insert(endpoint as u32, listed);
         }
-        let fronts = scenario.tiers[0].sidecars.unwrap_or(crate::scenario::Span::just(1.0));
-        let fronts = fleet.span(fronts).round().max(1.0) as u32;
-        for _ in 0..fronts {
+        let first_tier_sidecars = scenario.tiers[0].sidecars.unwrap_or(crate::scenario::Span::just(1.0));
+        let first_tier_sidecars = fleet.span(first_tier_sidecars).round().max(1.0) as u32;
+        for _ in 0..first_tier_sidecars {
             world.add_sidecar(0);
         }
-        world.fronts = world.sidecars.len();
-        for server in 0..world.servers.len() {
-            world.add_sidecar_beside(server as u32);
+        world.first_tier_sidecars = world.sidecars.len();
+        for endpoint in 0..world.endpoints.len() {
+            world.add_endpoint_sidecar(endpoint as u32);
         }
-        world.late = late::Views::wanted(&world.sidecars, &world.drawn);
-        world.plan_troubles();
-        world.plan(0, Happening::Arrive);
-        world.plan(1_000_000_000, Happening::Second);
+        world.delayed_views = delayed_view::ViewHistory::for_deciders(&world.sidecars, &world.parameters);
+        world.schedule_troubles();
+        world.schedule(0, SimEvent::Arrival);
+        world.schedule(1_000_000_000, SimEvent::SecondElapsed);
         world
     }
 
@@ -318,78 +318,84 @@
         self
     }
 
-    fn plan(&mut self, at: Nanos, what: Happening) {
-        self.agenda.plan(at.max(self.now), what);
+    fn schedule(&mut self, at: Nanos, event: SimEvent) {
+        self.calendar.schedule(at.max(self.now), event);
     }
 
-    fn note(&mut self, client: u64, text: impl FnOnce(&Self) -> String) {
+    fn trace_client(&mut self, client: u64, text: impl FnOnce(&Self) -> String) {
         if self.traced == Some(client) {
             let text = text(self);
             self.trace.push(format!("{:>12.3} ms  {text}", self.now as f64 / 1e6));
         }
     }
 
-    fn note_flow(&mut self, flow: FlowKey, text: impl FnOnce(&Self) -> String) {
+    fn trace_request(&mut self, request: RequestKey, text: impl FnOnce(&Self) -> String) {
         if self.traced.is_some()
-            && let Some(client) = self.client_of(flow)
+            && let Some(client) = self.client_of(request)
         {
-            self.note(client, text);
+            self.trace_client(client, text);
         }
     }
 
     /// The number of the client that a flow, through whatever tiers, is for.
-    fn client_of(&self, flow: FlowKey) -> Option<u64> {
-        let mut flow = flow;
+    fn client_of(&self, request: RequestKey) -> Option<u64> {
+        let mut request = request;
         loop {
-            match self.flows.get(flow)?.origin {
+            match self.requests.get(request)?.origin {
                 Origin::Client(client, _) => return Some(self.clients.get(client)?.number),
-                Origin::Job(job) => flow = self.jobs.get(job)?.flow,
+                Origin::Job(job) => request = self.jobs.get(job)?.request,
             }
         }
     }
 
     /// Plays the next event; false when nothing is left to happen.
     pub fn step(&mut self) -> bool {
-        let Some((at, what)) = self.agenda.next() else { return false };
+        let Some((at, event)) = self.calendar.next() else { return false };
         self.now = at;
         self.happened += 1;
-        match what {
-            Happening::Arrive => self.arrive(),
-            Happening::Try(client) => self.start_try(client),
-            Happening::AtSidecar { client, try_no, sidecar, process, due } => {
-                self.at_sidecar(client, try_no, sidecar, process, due);
+        match event {
+            SimEvent::Arrival => self.arrive(),
+            SimEvent::RetryDue(client) => self.start_try(client),
+            SimEvent::RequestAtSidecar { client, try_no, sidecar, process, deadline } => {
+                self.request_at_sidecar(client, try_no, sidecar, process, deadline);
             }
-            Happening::AtClient { client, try_no, answer } => self.at_client(client, try_no, answer),
-            Happening::GiveUp { client, try_no } => self.give_up(client, try_no),
-            Happening::Leave { client, try_no } => self.leave(client, try_no),
-            Happening::Overdue { flow } => self.overdue(flow),
-            Happening::Wake { sidecar, process, token } => {
+            SimEvent::AnswerAtClient { client, try_no, answer } => {
+                self.answer_at_client(client, try_no, answer)
+            }
+            SimEvent::ClientTimeout { client, try_no } => self.client_timed_out(client, try_no),
+            SimEvent::ClientLeaves { client, try_no } => self.client_leaves(client, try_no),
+            SimEvent::DeadlinePassed { request } => self.deadline_passed(request),
+            SimEvent::TimerFired { sidecar, process, token } => {
                 if self.is_process(sidecar, process) {
-                    self.feed(sidecar, Event::Timer { token: TimerToken(token) });
+                    self.deliver_event(sidecar, Event::Timer { token: TimerToken(token) });
                 }
             }
-            Happening::AtServer(job) => self.at_server(job),
-            Happening::Step { server, plan } => self.step_server(server, plan),
-            Happening::Crowd { server } => self.look_at_crowd(server),
-            Happening::Back(job, report) => self.back(job, report),
-            Happening::Short { flow, attempt, outcome } => self.finish(flow, attempt, outcome, None),
-            Happening::AttemptDue { flow, attempt } => self.attempt_due(flow, attempt),
-            Happening::Stop(job) => self.stop_job(job),
-            Happening::Listed { server, state } => self.listed(server, state),
-            Happening::Told { sidecar, process, server, state, started } => {
-                self.told(sidecar, process, server, state, started);
+            SimEvent::AttemptAtEndpoint(job) => self.attempt_at_endpoint(job),
+            SimEvent::CompletionDue { endpoint, schedule_version } => {
+                self.completion_due(endpoint, schedule_version)
+            }
+            SimEvent::CrowdingCheck { endpoint } => self.check_crowding(endpoint),
+            SimEvent::AnswerAtSidecar(job, report) => self.answer_at_sidecar(job, report),
+            SimEvent::AttemptEnd { request, attempt, outcome } => {
+                self.finish_attempt(request, attempt, outcome, None)
+            }
+            SimEvent::AttemptTimeout { request, attempt } => self.attempt_timed_out(request, attempt),
+            SimEvent::CancelAtEndpoint(job) => self.cancel_at_endpoint(job),
+            SimEvent::ListChange { endpoint, state } => self.apply_list_change(endpoint, state),
+            SimEvent::ChangeDelivered { sidecar, process, endpoint, state, started } => {
+                self.change_delivered(sidecar, process, endpoint, state, started);
             }
-            Happening::Whole { sidecar, process } => self.whole_list(sidecar, process),
-            Happening::NoList { sidecar, process } => {
+            SimEvent::FullListDelivered { sidecar, process } => self.full_list_delivered(sidecar, process),
+            SimEvent::PollFailed { sidecar, process } => {
                 if self.is_process(sidecar, process) {
-                    self.sidecars[sidecar as usize].asks_failed = true;
-                    self.feed(sidecar, Event::DiscoveryFailed);
+                    self.sidecars[sidecar as usize].poll_failed = true;
+                    self.deliver_event(sidecar, Event::DiscoveryFailed);
                 }
             }
-            Happening::Trouble { number, begins } => self.trouble(number, begins),
-            Happening::DrainServer { server, ends } => self.drain_server(server, ends),
-            Happening::EndServer { server, replace } => self.end_server(server, replace),
-            Happening::Second => self.second(),
+            SimEvent::Trouble { number, begins } => self.trouble(number, begins),
+            SimEvent::DrainEndpoint { endpoint, ends } => self.drain_endpoint(endpoint, ends),
+            SimEvent::StopEndpoint { endpoint, replace } => self.stop_endpoint(endpoint, replace),
+            SimEvent::SecondElapsed => self.every_second(),
         }
         true
     }
--- a/crates/lab/src/world/played.rs
+++ b/crates/lab/src/world/result.rs
@@ -11,17 +11,17 @@
 
     /// What came of it, as far as it has been played.
     pub fn into_played(mut self) -> Played {
-        let servers = self.servers.iter_mut().map(|s| {
+        let endpoints = self.endpoints.iter_mut().map(|s| {
             s.advance(self.now);
             crate::score::ServerRow {
-                tier: s.build.tier,
-                kind: s.build.kind,
-                capacity: s.build.cores * s.build.speed,
+                tier: s.spec.tier,
+                kind: s.spec.kind,
+                capacity: s.spec.cores * s.spec.speed,
                 worked: s.worked,
                 completed: s.completed,
             }
         });
-        self.book.servers = servers.collect();
+        self.book.servers = endpoints.collect();
         Played {
             book: self.book,
             breaches: self.rules.breaches,
@@ -39,7 +39,7 @@
 
     /// Events, flows, requests at servers and clients that are held in memory now.
     pub fn held(&self) -> [usize; 4] {
-        [self.agenda.keys.len(), self.flows.len(), self.jobs.len(), self.clients.len()]
+        [self.calendar.keys.len(), self.requests.len(), self.jobs.len(), self.clients.len()]
     }
 
     /// Whether nothing got lost: each client is open or has ended once, each piece of work done is for an answer
@@ -51,16 +51,18 @@
             let open = self.clients.len();
             return Err(format!("{} clients arrived, {ended} ended and {open} are open", b.arrived));
         }
-        for s in &mut self.servers {
+        for s in &mut self.endpoints {
             s.advance(self.now);
         }
-        let done: f64 = self.servers.iter().map(|s| s.worked).sum();
+        let done: f64 = self.endpoints.iter().map(|s| s.worked).sum();
         let under_way: f64 = self
             .jobs
             .values()
             .map(|j| match j.stage {
-                Stage::Running(at, part) => j.carried + part - self.servers[j.server as usize].left(at),
-                _ => j.carried,
+                Stage::Running(at, segment) => {
+                    j.work_done + segment - self.endpoints[j.endpoint as usize].remaining_work(at)
+                }
+                _ => j.work_done,
             })
             .sum();
         let accounted = self.book.useful_work + self.book.wasted_work + under_way;
--- a/crates/lab/src/world/rules.rs
+++ b/crates/lab/src/world/rules.rs
@@ -1,12 +1,12 @@
 //! The rules, checked at each step of every flow, by what passes between sidecars and the world.
 
-use super::server::Nanos;
+use super::endpoint::Nanos;
 use crate::scenario::{Effect, Scenario};
 use serde::Serialize;
 use std::fmt;
 
 /// Breaches that are kept with their cause; all are counted.
-const KEPT: usize = 50;
+const MAX_KEPT_BREACHES: usize = 50;
 
 /// A rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -49,48 +49,54 @@
 /// Requests of mean work within the time that the rule on cold servers names beyond which one falls, where its
 /// multiple of what the server can do allows `allowed` of them: chance alone brings more than the mean. The operators
 /// state it (standing fleet test, "Days at full size").
-pub fn stands(allowed: f64) -> f64 {
+pub fn tolerated_requests(allowed: f64) -> f64 {
     allowed + 3.0 * libm::sqrt(allowed) + 3.0
 }
 
 /// The rule on cold servers is broken by a fall of which more than this share came from sidecars that had been told of
 /// the start.
-const TOLD: f64 = 2.0 / 3.0;
+const INFORMED_SHARE: f64 = 2.0 / 3.0;
 
 /// The checker: what each class allows, and what was broken so far.
 pub(super) struct Rules {
     effects: Vec<(Effect, Nanos)>,
     may_duplicate: bool,
-    grace: Nanos,
+    drain_grace: Nanos,
     pub(super) breaches: Vec<Breach>,
     pub(super) count: [u64; 5],
 }
 
 /// One earlier attempt, as the rule on repeats sees it: when it went out, and whether it is proven never to have
 /// run; `None` while it is out.
-pub(super) type Earlier = (Nanos, Option<bool>);
+pub(super) type EarlierAttempt = (Nanos, Option<bool>);
 
 impl Rules {
     pub(super) fn new(scenario: &Scenario) -> Rules {
         Rules {
             effects: scenario.classes.iter().map(|c| (c.effect, c.window.0)).collect(),
             may_duplicate: scenario.rules.may_duplicate,
-            grace: scenario.rules.drain_grace.0,
+            drain_grace: scenario.rules.drain_grace.0,
             breaches: Vec::new(),
             count: [0; 5],
         }
     }
 
     pub(super) fn breach(&mut self, rule: Rule, at: Nanos, cause: impl FnOnce() -> String) {
-        let place = Rule::ALL.iter().position(|r| *r == rule).unwrap_or(0);
-        self.count[place] += 1;
-        if self.breaches.len() < KEPT {
+        let index = Rule::ALL.iter().position(|r| *r == rule).unwrap_or(0);
+        self.count[index] += 1;
+        if self.breaches.len() < MAX_KEPT_BREACHES {
             self.breaches.push(Breach { rule, at, cause: cause() });
         }
     }
 
     /// A further attempt of a flow goes out.
-    pub(super) fn sends(&mut self, now: Nanos, class: u16, answered: bool, earlier: &[Earlier]) {
+    pub(super) fn check_send(
+        &mut self,
+        now: Nanos,
+        class: u16,
+        answered: bool,
+        earlier: &[EarlierAttempt],
+    ) {
         if answered {
             self.breach(Rule::OneAnswer, now, || "an attempt went out after the final answer".into());
         }
@@ -115,7 +121,7 @@
     }
 
     /// A flow is refused.
-    pub(super) fn refuses(&mut self, now: Nanos, class: u16, earlier: &[Earlier]) {
+    pub(super) fn check_refusal(&mut self, now: Nanos, class: u16, earlier: &[EarlierAttempt]) {
         let ran = earlier.iter().any(|e| e.1 != Some(true));
         if ran && matches!(self.effects.get(usize::from(class)), Some((Effect::Unsafe, _))) {
             self.breach(Rule::NoRepeat, now, || {
@@ -125,19 +131,25 @@
     }
 
     /// A cold server has fallen under `all` work, `told` of it from sidecars that had been told of its start.
-    pub(super) fn falls(&mut self, now: Nanos, told: f64, all: f64, cause: impl FnOnce() -> String) {
-        if told > all * TOLD {
+    pub(super) fn check_overload(
+        &mut self,
+        now: Nanos,
+        informed_work: f64,
+        all_work: f64,
+        cause: impl FnOnce() -> String,
+    ) {
+        if informed_work > all_work * INFORMED_SHARE {
             self.breach(Rule::Cold, now, cause);
         }
     }
 
     /// An attempt goes to a server that the sidecar was told drains or is gone.
-    pub(super) fn sends_to_told(&mut self, now: Nanos, told: Nanos, server: u32) {
-        let late = now.saturating_sub(told);
-        if late > self.grace {
+    pub(super) fn check_unready_send(&mut self, now: Nanos, notified_at: Nanos, endpoint: u32) {
+        let late = now.saturating_sub(notified_at);
+        if late > self.drain_grace {
             let late = late as f64 / 1e6;
             self.breach(Rule::Drains, now, || {
-                format!("server {server} got new work {late:.0} ms after the word")
+                format!("server {endpoint} got new work {late:.0} ms after the word")
             });
         }
     }
@@ -151,18 +163,18 @@
     #[test]
     fn a_cold_server_stands_what_is_stated_and_those_told_answer_for_over_two_thirds() {
         for (allowed, most) in [(0.0, 3.0), (1.0, 7.0), (4.0, 13.0), (25.0, 43.0)] {
-            assert_eq!(stands(allowed), most);
+            assert_eq!(tolerated_requests(allowed), most);
         }
         let mut rules = Rules {
             effects: Vec::new(),
             may_duplicate: false,
-            grace: 0,
+            drain_grace: 0,
             breaches: Vec::new(),
             count: [0; 5],
         };
-        rules.falls(1, 2.0, 3.0, || unreachable!("two thirds are not more than two thirds"));
+        rules.check_overload(1, 2.0, 3.0, || unreachable!("two thirds are not more than two thirds"));
         assert_eq!(rules.count, [0; 5]);
-        rules.falls(2, 2.1, 3.0, || "it fell".into());
+        rules.check_overload(2, 2.1, 3.0, || "it fell".into());
         assert_eq!((rules.count, rules.breaches[0].at), ([0, 0, 0, 0, 1], 2));
     }
 }
--- a/crates/lab/src/world/build.rs
+++ b/crates/lab/src/world/spec.rs
@@ -1,11 +1,11 @@
 //! What a server is made of; a seed draws it once.
 
-use super::server::Nanos;
+use super::endpoint::Nanos;
 use crate::scenario::Choke;
 
 /// What a server is made of; drawn once.
 #[derive(Clone, Debug)]
-pub struct Build {
+pub struct EndpointSpec {
     /// Its tier.
     pub tier: usize,
     /// Its kind, counted over all tiers' kinds in the tier's own order.
@@ -17,7 +17,7 @@
     /// Requests in work at once.
     pub slots: usize,
     /// Requests that wait for a slot.
-    pub room: usize,
+    pub queue_capacity: usize,
     /// Efficiency lost with each request held for a core ...
     pub thrash: f64,
     /// ... beyond this many.
@@ -35,39 +35,39 @@
     /// Share of capacity that a full table takes.
     pub full_tax: f64,
     /// What crowding does.
-    pub choke: Option<Crowding>,
+    pub choke: Option<CrowdingSpec>,
 }
 
 /// The crowding slowdown, drawn once.
 #[derive(Clone, Copy, Debug)]
-pub struct Crowding {
+pub struct CrowdingSpec {
     /// Requests waiting for each core.
-    pub waiting: f64,
+    pub queue_per_core: f64,
     /// For so long.
-    pub over: Nanos,
+    pub begins_after: Nanos,
     /// Times slower.
-    pub slower: f64,
+    pub slowdown: f64,
     /// Mostly idle for so long ends it, ...
-    pub rest: Nanos,
+    pub idle_time: Nanos,
     /// ... below this utilisation, ...
-    pub below: f64,
+    pub idle_utilization: f64,
     /// ... or this time does.
-    pub most: Nanos,
+    pub max_duration: Nanos,
 }
 
-impl Crowding {
+impl CrowdingSpec {
     /// Draws the figures of a server.
-    pub fn draw(c: &Choke, draw: &mut crate::draw::Draw) -> Crowding {
+    pub fn draw(c: &Choke, draw: &mut crate::draw::Draw) -> CrowdingSpec {
         // One share for all of them: mild or severe in every respect, so that ranges turned round in pairs
         // (a low bar with a short time) stay together.
         let share = draw.share();
-        Crowding {
-            waiting: c.waiting.at(share),
-            over: c.over.at(share),
-            slower: c.slower.at(share),
-            rest: c.rest.at(share),
-            below: c.below.at(share),
-            most: c.most.at(share),
+        CrowdingSpec {
+            queue_per_core: c.waiting.at(share),
+            begins_after: c.over.at(share),
+            slowdown: c.slower.at(share),
+            idle_time: c.rest.at(share),
+            idle_utilization: c.below.at(share),
+            max_duration: c.most.at(share),
         }
     }
 }
--- a/crates/lab/src/world/troubles.rs
+++ b/crates/lab/src/world/troubles.rs
@@ -1,28 +1,28 @@
 //! Troubles: when they begin and end, whom they strike, what they do.
 
-use super::server::{Life, Nanos};
+use super::endpoint::{Life, Nanos};
 use super::*;
 use crate::scenario::{Trouble, What};
 use cottonpoint_decide::EndpointState;
 
 impl World<'_> {
-    pub(super) fn plan_troubles(&mut self) {
+    pub(super) fn schedule_troubles(&mut self) {
         for (i, t) in self.scenario.troubles.iter().enumerate() {
             let number = i as u32;
             let mut draw = Draw::new(self.seed, Purpose::Troubles, u64::from(number));
             let begins = draw.length(t.at);
             let ends = begins + draw.length(t.length);
-            self.plan(begins, Happening::Trouble { number, begins: true });
-            self.plan(ends, Happening::Trouble { number, begins: false });
+            self.schedule(begins, SimEvent::Trouble { number, begins: true });
+            self.schedule(ends, SimEvent::Trouble { number, begins: false });
         }
     }
 
     /// The servers that a trouble strikes: a share of those that run, one at least.
-    fn strike(&self, t: &Trouble, draw: &mut Draw) -> Vec<u32> {
+    fn choose_affected(&self, t: &Trouble, draw: &mut Draw) -> Vec<u32> {
         let up = |s: &u32| {
-            self.servers[*s as usize].build.tier == t.tier && self.servers[*s as usize].life == Life::Up
+            self.endpoints[*s as usize].spec.tier == t.tier && self.endpoints[*s as usize].life == Life::Up
         };
-        let up: Vec<u32> = (0..self.servers.len() as u32).filter(up).collect();
+        let up: Vec<u32> = (0..self.endpoints.len() as u32).filter(up).collect();
         choose(up, draw.span(t.part), draw)
     }
 
@@ -34,22 +34,22 @@
         let (_, length) = (draw.length(t.at), draw.length(t.length));
         let size = draw.span(t.size);
         if begins {
-            let struck = match t.what {
+            let affected = match t.what {
                 What::Burst | What::Outage | What::SharedSlow => Vec::new(),
                 What::SidecarDown => {
-                    let fronts = self.fronts as u32;
-                    choose((0..fronts).collect(), draw.span(t.part), &mut draw)
+                    let first_tier_sidecars = self.first_tier_sidecars as u32;
+                    choose((0..first_tier_sidecars).collect(), draw.span(t.part), &mut draw)
                 }
-                _ => self.strike(t, &mut draw),
+                _ => self.choose_affected(t, &mut draw),
             };
-            let words = format!("{:?} of tier {} strikes {struck:?}", t.what, t.tier);
+            let words = format!("{:?} of tier {} strikes {affected:?}", t.what, t.tier);
             self.book.event(self.now, words);
-            self.begin_trouble(number, t, &struck, size, length, &mut draw);
-            self.struck.insert(number, struck);
+            self.begin_trouble(number, t, &affected, size, length, &mut draw);
+            self.affected.insert(number, affected);
         } else {
-            let struck = self.struck.remove(&number).unwrap_or_default();
+            let affected = self.affected.remove(&number).unwrap_or_default();
             self.book.event(self.now, format!("{:?} of tier {} ends", t.what, t.tier));
-            self.end_trouble(number, t, &struck, size);
+            self.end_trouble(number, t, &affected, size);
         }
     }
 
@@ -57,95 +57,111 @@
         &mut self,
         number: u32,
         t: &Trouble,
-        struck: &[u32],
+        affected: &[u32],
         size: f64,
         length: Nanos,
         draw: &mut Draw,
     ) {
         match t.what {
-            What::Slow => self.each(struck, |s| s.slowed *= size),
+            What::Slow => self.change_endpoints(affected, |s| s.slowdown *= size),
             What::SharedSlow => {
-                let all = self.of_tier(t.tier);
-                self.each(&all, |s| s.slowed *= size);
+                let all = self.endpoints_of_tier(t.tier);
+                self.change_endpoints(&all, |s| s.slowdown *= size);
             }
-            What::FastErrors => self.each(struck, |s| s.failing = size),
-            What::Gray => self.each(struck, |s| s.gray = true),
-            What::Burst => self.burst *= size,
+            What::FastErrors => self.change_endpoints(affected, |s| s.error_share = size),
+            What::Gray => self.change_endpoints(affected, |s| s.gray = true),
+            What::Burst => self.load_multiple *= size,
             What::Outage => {
-                self.outages += 1;
+                self.active_outages += 1;
                 for sidecar in 0..self.sidecars.len() {
-                    let side = &mut self.sidecars[sidecar];
-                    if self.scenario.discovery.asked && side.alive && side.subscribed {
-                        side.subscribed = false;
-                        let (sidecar, process) = (sidecar as u32, side.process);
-                        self.plan(self.now, Happening::NoList { sidecar, process });
+                    let sidecar_state = &mut self.sidecars[sidecar];
+                    if self.scenario.discovery.asked && sidecar_state.alive && sidecar_state.subscribed {
+                        sidecar_state.subscribed = false;
+                        let (sidecar, process) = (sidecar as u32, sidecar_state.process);
+                        self.schedule(self.now, SimEvent::PollFailed { sidecar, process });
                     }
                 }
             }
             What::Vanish | What::Die => {
-                for &server in struck {
-                    self.kill_server(server, t.what == What::Vanish);
-                    self.list_later(server, EndpointState::Removed, self.scenario.discovery.silent);
+                for &endpoint in affected {
+                    self.kill_endpoint(endpoint, t.what == What::Vanish);
+                    self.schedule_list_change(
+                        endpoint,
+                        EndpointState::Removed,
+                        self.scenario.discovery.silent,
+                    );
                 }
             }
             What::Partition => {
-                let fronts = (0..self.sidecars.len() as u32).filter(|&s| {
+                let candidates = (0..self.sidecars.len() as u32).filter(|&s| {
                     self.sidecars[s as usize].tier == t.tier && self.sidecars[s as usize].alive
                 });
-                let cut_off = choose(fronts.collect(), draw.span(t.sidecars), draw);
+                let cut_off = choose(candidates.collect(), draw.span(t.sidecars), draw);
                 let mark = |n: usize, which: &[u32]| {
                     let mut marks = vec![false; n];
                     which.iter().for_each(|&w| marks[w as usize] = true);
                     marks
                 };
                 let sidecars = mark(self.sidecars.len(), &cut_off);
-                let servers = mark(self.servers.len(), struck);
-                self.cuts.push(Cut { trouble: number, sidecars, servers });
+                let endpoints = mark(self.endpoints.len(), affected);
+                self.partitions.push(Partition { trouble: number, sidecars, endpoints });
             }
-            What::SidecarDown => struck.iter().for_each(|&s| self.kill_sidecar(s, false)),
+            What::SidecarDown => affected.iter().for_each(|&s| self.kill_sidecar(s, false)),
             What::Drain => {
-                for &server in struck {
-                    self.servers[server as usize].life = Life::Draining;
-                    self.list_later(server, EndpointState::Draining, self.scenario.discovery.notice);
+                for &endpoint in affected {
+                    self.endpoints[endpoint as usize].life = Life::Draining;
+                    self.schedule_list_change(
+                        endpoint,
+                        EndpointState::Draining,
+                        self.scenario.discovery.notice,
+                    );
                 }
             }
             What::Deploy => {
-                let batch = ((size * self.of_tier(t.tier).len() as f64).ceil() as usize).max(1);
-                let batches = struck.len().div_ceil(batch).max(1);
-                for (i, &server) in struck.iter().enumerate() {
+                let batch = ((size * self.endpoints_of_tier(t.tier).len() as f64).ceil() as usize).max(1);
+                let batches = affected.len().div_ceil(batch).max(1);
+                for (i, &endpoint) in affected.iter().enumerate() {
                     let at = self.now + length / batches as u64 * (i / batch) as u64;
                     let ends = at + draw.length(t.drain);
-                    self.plan(at, Happening::DrainServer { server, ends });
+                    self.schedule(at, SimEvent::DrainEndpoint { endpoint, ends });
                 }
             }
         }
     }
 
-    fn end_trouble(&mut self, number: u32, t: &Trouble, struck: &[u32], size: f64) {
+    fn end_trouble(&mut self, number: u32, t: &Trouble, affected: &[u32], size: f64) {
         match t.what {
-            What::Slow => self.each(struck, |s| s.slowed /= size),
+            What::Slow => self.change_endpoints(affected, |s| s.slowdown /= size),
             What::SharedSlow => {
-                let all = self.of_tier(t.tier);
-                self.each(&all, |s| s.slowed = (s.slowed / size).max(1.0));
+                let all = self.endpoints_of_tier(t.tier);
+                self.change_endpoints(&all, |s| s.slowdown = (s.slowdown / size).max(1.0));
             }
-            What::FastErrors => self.each(struck, |s| s.failing = 0.0),
-            What::Gray => self.each(struck, |s| s.gray = false),
-            What::Burst => self.burst /= size,
-            What::Outage => self.outages = self.outages.saturating_sub(1),
-            What::Partition => self.cuts.retain(|c| c.trouble != number),
-            What::SidecarDown => struck.iter().for_each(|&s| self.restart_sidecar(s)),
+            What::FastErrors => self.change_endpoints(affected, |s| s.error_share = 0.0),
+            What::Gray => self.change_endpoints(affected, |s| s.gray = false),
+            What::Burst => self.load_multiple /= size,
+            What::Outage => self.active_outages = self.active_outages.saturating_sub(1),
+            What::Partition => self.partitions.retain(|c| c.trouble != number),
+            What::SidecarDown => affected.iter().for_each(|&s| self.restart_sidecar(s)),
             What::Vanish | What::Die => {
-                for &server in
-                    struck.iter().filter(|s| !self.fallen.contains(s)).copied().collect::<Vec<_>>().iter()
+                for &endpoint in affected
+                    .iter()
+                    .filter(|s| !self.overloaded.contains(s))
+                    .copied()
+                    .collect::<Vec<_>>()
+                    .iter()
                 {
-                    self.start_server(server);
+                    self.start_endpoint(endpoint);
                 }
             }
             What::Drain => {
-                for &server in struck {
-                    if self.servers[server as usize].life == Life::Draining {
-                        self.servers[server as usize].life = Life::Up;
-                        self.list_later(server, EndpointState::Ready, self.scenario.discovery.add);
+                for &endpoint in affected {
+                    if self.endpoints[endpoint as usize].life == Life::Draining {
+                        self.endpoints[endpoint as usize].life = Life::Up;
+                        self.schedule_list_change(
+                            endpoint,
+                            EndpointState::Ready,
+                            self.scenario.discovery.add,
+                        );
                     }
                 }
             }
@@ -154,49 +170,49 @@
     }
 
     /// A process starts on a machine that had lost its own.
-    fn start_server(&mut self, server: u32) {
-        self.servers[server as usize].start(self.now);
-        self.list_later(server, EndpointState::Ready, self.scenario.discovery.add);
-        if let Some(sidecar) = self.beside.get(&server).copied() {
+    fn start_endpoint(&mut self, endpoint: u32) {
+        self.endpoints[endpoint as usize].start_process(self.now);
+        self.schedule_list_change(endpoint, EndpointState::Ready, self.scenario.discovery.add);
+        if let Some(sidecar) = self.sidecar_of.get(&endpoint).copied() {
             self.restart_sidecar(sidecar);
         }
     }
 
-    pub(super) fn drain_server(&mut self, server: u32, ends: Nanos) {
-        if self.servers[server as usize].life != Life::Up {
+    pub(super) fn drain_endpoint(&mut self, endpoint: u32, ends: Nanos) {
+        if self.endpoints[endpoint as usize].life != Life::Up {
             return;
         }
-        self.servers[server as usize].life = Life::Draining;
-        self.list_later(server, EndpointState::Draining, self.scenario.discovery.notice);
-        self.plan(ends, Happening::EndServer { server, replace: true });
+        self.endpoints[endpoint as usize].life = Life::Draining;
+        self.schedule_list_change(endpoint, EndpointState::Draining, self.scenario.discovery.notice);
+        self.schedule(ends, SimEvent::StopEndpoint { endpoint, replace: true });
     }
 
-    pub(super) fn end_server(&mut self, server: u32, replace: bool) {
-        if self.servers[server as usize].life != Life::Draining {
+    pub(super) fn stop_endpoint(&mut self, endpoint: u32, replace: bool) {
+        if self.endpoints[endpoint as usize].life != Life::Draining {
             return;
         }
-        self.kill_server(server, false);
-        self.list_later(server, EndpointState::Removed, self.scenario.discovery.notice);
+        self.kill_endpoint(endpoint, false);
+        self.schedule_list_change(endpoint, EndpointState::Removed, self.scenario.discovery.notice);
         if replace {
-            let build = self.servers[server as usize].build.clone();
-            let successor = self.servers.len() as u32;
-            self.servers.push(Server::new(build, Some(self.now), self.now));
-            self.add_sidecar_beside(successor);
-            self.list_later(successor, EndpointState::Ready, self.scenario.discovery.add);
+            let spec = self.endpoints[endpoint as usize].spec.clone();
+            let successor = self.endpoints.len() as u32;
+            self.endpoints.push(EmulatedEndpoint::new(spec, Some(self.now), self.now));
+            self.add_endpoint_sidecar(successor);
+            self.schedule_list_change(successor, EndpointState::Ready, self.scenario.discovery.add);
         }
     }
 
-    fn of_tier(&self, tier: usize) -> Vec<u32> {
-        (0..self.servers.len() as u32).filter(|&s| self.servers[s as usize].build.tier == tier).collect()
+    fn endpoints_of_tier(&self, tier: usize) -> Vec<u32> {
+        (0..self.endpoints.len() as u32).filter(|&s| self.endpoints[s as usize].spec.tier == tier).collect()
     }
 
     /// Changes what some servers can do.
-    fn each(&mut self, servers: &[u32], change: impl Fn(&mut Server)) {
-        for &server in servers {
-            let s = &mut self.servers[server as usize];
+    fn change_endpoints(&mut self, endpoints: &[u32], change: impl Fn(&mut EmulatedEndpoint)) {
+        for &endpoint in endpoints {
+            let s = &mut self.endpoints[endpoint as usize];
             s.advance(self.now);
             change(s);
-            self.replan(server);
+            self.reschedule_completion(endpoint);
         }
     }
 }
