--- a/crates/lab/src/policies/broken.rs
+++ b/crates/lab/src/policies/broken.rs
@@ -1,35 +1,40 @@
-//! Policies that break one rule each, or starve some calls, to show that what judges them sees it.
+//! Policies that each break one rule, or starve some requests, to show that the checks detect it.
 
 use super::{Decider, Policy, Truth};
 use crate::world::Rule;
 use cottonpoint_decide::*;
 use std::time::Duration;
 
-/// A policy that starts all it is given at once.
-const UNBOUNDED: &str = "random";
+/// A policy without a limit: it sends every request at once.
+const UNLIMITED_POLICY: &str = "random";
 
-/// A policy written to break a rule: what it passes on from [`Balancer`] is changed where the rule would hold.
+/// A policy that breaks a rule: it changes what [`Balancer`] returns wherever the rule would hold.
 pub struct Breaks {
     rule: Rule,
     inner: Box<dyn Decider>,
     listed: Vec<EndpointId>,
     drained: Option<EndpointId>,
-    coldest: Option<(Time, EndpointId)>,
+    youngest: Option<(Time, EndpointId)>,
 }
 
 impl Breaks {
-    /// A decider that breaks the rule and is otherwise ours, or, to break that on cold servers, unbounded.
+    /// A decider that breaks the rule and otherwise behaves as our policy, or, for the rule on cold
+    /// servers, as a policy without a limit.
     pub fn new(rule: Rule, settings: Settings, seed: u64, now: Time) -> Breaks {
         let mut settings = settings;
         if rule == Rule::NoRepeat {
-            // It believes that nothing has an effect.
+            // Every class is declared safe to repeat.
             settings.classes.iter_mut().for_each(|c| c.effect = Effect::Safe);
         }
-        // Ours bounds what is out at a server, and would hold back what the others are thought to have.
-        let inner =
-            if rule == Rule::Cold { UNBOUNDED.parse().unwrap_or(Policy::Ours) } else { Policy::Ours };
+        // Our policy limits the attempts outstanding at an endpoint, and would reserve a part of
+        // that for the load that it expects from other balancers.
+        let inner = if rule == Rule::Cold {
+            UNLIMITED_POLICY.parse().unwrap_or(Policy::Ours)
+        } else {
+            Policy::Ours
+        };
         let inner = inner.make(settings, seed, now);
-        Breaks { rule, inner, listed: Vec::new(), drained: None, coldest: None }
+        Breaks { rule, inner, listed: Vec::new(), drained: None, youngest: None }
     }
 }
 
@@ -41,7 +46,7 @@
                     EndpointState::Ready => {
                         self.listed.push(e.id);
                         if let Some(started) = e.started {
-                            self.coldest = self.coldest.max(Some((started, e.id)));
+                            self.youngest = self.youngest.max(Some((started, e.id)));
                         }
                     }
                     _ => self.drained = Some(e.id),
@@ -51,7 +56,7 @@
         let from = actions.len();
         self.inner.handle(now, event, truth, actions);
         match self.rule {
-            // A final answer is kept back.
+            // Withholds final answers.
             Rule::OneAnswer => {
                 let mut at = 0;
                 actions.retain(|a| {
@@ -59,19 +64,19 @@
                     at <= from || !matches!(a, Action::Refuse { .. } | Action::Fail { .. })
                 });
             }
-            // The class of an unsafe call is not looked at: see `new`.
+            // The settings declare every class safe to repeat: see `new`.
             Rule::NoRepeat => {}
-            // Each attempt goes out twice at once.
+            // Sends each attempt twice at once.
             Rule::OneOut => {
                 let sends: Vec<Action> =
                     actions[from..].iter().filter(|a| matches!(a, Action::Send { .. })).copied().collect();
                 actions.extend(sends);
             }
-            // What drains gets all the work.
+            // Sends all work to an endpoint that is not ready.
             Rule::Drains => redirect(&mut actions[from..], self.drained),
-            // The youngest server gets all the work.
+            // Sends all work to the endpoint that started last.
             Rule::Cold => {
-                let young = self.coldest.filter(|c| now.since(c.0) < Duration::from_secs(20));
+                let young = self.youngest.filter(|c| now.since(c.0) < Duration::from_secs(20));
                 redirect(&mut actions[from..], young.map(|c| c.1));
             }
         }
@@ -87,7 +92,7 @@
     }
 }
 
-/// Ours, but it refuses all calls of a class or of a tenant as they come.
+/// Our policy, but it refuses all requests of a class or of a tenant on arrival.
 pub struct Starves {
     class: Option<ClassId>,
     tenant: Option<TenantId>,
@@ -109,16 +114,17 @@
 
 impl Decider for Starves {
     fn handle(&mut self, now: Time, event: Event<'_>, truth: &Truth<'_>, actions: &mut Vec<Action>) {
-        if let Event::Arrived(call) = event
-            && (self.class == Some(call.class) || self.tenant.is_some() && self.tenant == call.tenant)
+        if let Event::Arrived(request) = event
+            && (self.class == Some(request.class) || self.tenant.is_some() && self.tenant == request.tenant)
         {
-            return actions.push(Action::Refuse { id: call.id, retry_after: None });
+            return actions.push(Action::Refuse { id: request.id, retry_after: None });
         }
         self.inner.handle(now, event, truth, actions);
     }
 }
 
-/// Ours without its budget for cold targets: the multiple that pushes one over is stated as past all reach.
+/// Our policy without its budget for cold endpoints: the multiple that overloads one is set out of
+/// reach.
 pub fn without_cold_budget(settings: Settings, seed: u64, now: Time) -> Box<dyn Decider> {
     let mut settings = settings;
     settings.slow_start.overload_multiple = 1e9;
--- a/crates/lab/src/policies/mod.rs
+++ b/crates/lab/src/policies/mod.rs
@@ -1,7 +1,7 @@
-//! Deciders: our own policy, rivals from the literature, and one that sees the true state.
-//!
-//! A policy is named by a choice of server, and behind a `+` each a limit and a retry budget:
-//! `ours`, `p2c`, `peak-ewma+gradient+budget`, `top`.
+//! Deciders: our policy, reference policies from the literature, and policies that see the true
+//! state.
+//! A policy is named by the way it chooses an endpoint, optionally followed by a limit and a retry
+//! budget, each after a `+`: `ours`, `p2c`, `peak-ewma+gradient+budget`, `top`.
 
 pub mod broken;
 mod limits;
@@ -15,28 +15,29 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// The true state of the world. Only the policies that give the top and the mark of the gate look at it.
+/// The true state of the emulator. Only the policies that give the upper bound (`top`) and the
+/// reference value of the gate (`late`) use it.
 pub struct Truth<'a> {
     /// The time.
     pub now: Nanos,
-    /// All servers that ever were, by index, which is their id.
+    /// All endpoints of the run, including ended ones; the index is the endpoint's id.
     pub servers: &'a [EmulatedEndpoint],
-    /// The same servers as they were when the reports were made that a sidecar has by now; empty unless some decider
-    /// [sees it late](Decider::sees_late).
+    /// The same endpoints at the time at which the load reports were made that a sidecar has by
+    /// now; empty unless some decider [uses it](Decider::uses_delayed_state).
     pub late: &'a [EndpointView],
 }
 
-/// What decides for one sidecar: the same events and actions as [`Balancer`].
+/// Makes the decisions of one sidecar, with the same events and actions as [`Balancer`].
 pub trait Decider {
-    /// Takes one event and appends what is to be done about it.
+    /// Handles one event and appends the resulting actions.
     fn handle(&mut self, now: Time, event: Event<'_>, truth: &Truth<'_>, actions: &mut Vec<Action>);
 
-    /// Whether it looks at the true state of a while ago.
-    fn sees_late(&self) -> bool {
+    /// Whether the decider uses [`Truth::late`].
+    fn uses_delayed_state(&self) -> bool {
         false
     }
 
-    /// The limit on running calls that it goes by now, if it has one.
+    /// The current limit on running requests, if there is one.
     fn limit(&self) -> Option<f64> {
         None
     }
@@ -52,26 +53,26 @@
     }
 }
 
-/// A policy by name.
+/// A policy, as its name describes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The project's own.
+    /// The project's own policy.
     Ours,
-    /// A rival: its choice of server, its limit, and whether it budgets retries.
+    /// A reference policy: its choice of endpoint, its limit, and whether it has a retry budget.
     Rival(Choice, Limiting, bool),
 }
 
-/// The names of all choices with what they are.
+/// The name of each choice of endpoint.
 pub const CHOICES: [(&str, Choice); 10] = [
     ("random", Choice::Random),
     ("round-robin", Choice::RoundRobin),
-    ("least-out", Choice::LeastOut),
+    ("least-out", Choice::LeastOutstanding),
     ("p2c", Choice::PowerOfTwo),
     ("peak-ewma", Choice::PeakEwma),
     ("wrr", Choice::WeightedByReport),
     ("prequal", Choice::HotCold),
     ("least-time", Choice::LeastTime),
-    ("late", Choice::LateState),
+    ("late", Choice::DelayedState),
     ("top", Choice::TrueState),
 ];
 
--- a/crates/lab/src/world/answers.rs
+++ b/crates/lab/src/world/answers.rs
@@ -1,9 +1,9 @@
-//! Attempts on their way back: answers, ends, withdrawals, losses.
+//! The end of attempts: answers, timeouts, cancellations and losses.
 
 use super::*;
 
 impl World<'_> {
-    /// A server's answer is at its sidecar.
+    /// An endpoint's answer arrives at its sidecar.
     pub(super) fn answer_at_sidecar(&mut self, key: JobKey, report: Option<LoadReport>) {
         let Some(job) = self.jobs.get(key) else { return };
         let (endpoint, sidecar) = (job.endpoint, job.sidecar);
@@ -51,7 +51,7 @@
         pool.idle.push(self.now);
     }
 
-    /// An attempt has ended: the decider is told, and whoever asked, if it was served.
+    /// Ends an attempt: notifies the decider, and answers the client if the attempt was served.
     pub(super) fn finish_attempt(
         &mut self,
         request: RequestKey,
@@ -88,14 +88,14 @@
         self.release(request);
     }
 
-    /// The time that a sidecar gave an attempt is over.
+    /// The deadline that the sidecar gave an attempt has passed.
     pub(super) fn attempt_timed_out(&mut self, request: RequestKey, attempt: u8) {
         if self.abandon_attempt(request, attempt) {
             self.finish_attempt(request, attempt, Outcome::TimedOut, None);
         }
     }
 
-    /// A decider withdraws an attempt.
+    /// A decider cancels an attempt.
     pub(super) fn cancel(&mut self, request: RequestKey, attempt: u8) {
         if self.abandon_attempt(request, attempt) {
             let outcome = Outcome::Cancelled;
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Nobody waits for an attempt any more: its connection is closed, and its server hears of it.
+    /// Closes an attempt's connection, of which its endpoint learns one network delay later.
+    /// Returns false if the attempt has already ended.
     fn abandon_attempt(&mut self, request: RequestKey, attempt: u8) -> bool {
         let Some(f) = self.requests.get_mut(request) else { return false };
         let Some(a) = f.attempts.get_mut(usize::from(attempt)).filter(|a| a.outcome.is_none()) else {
@@ -115,7 +116,8 @@
         true
     }
 
-    /// Nobody waits for a server's answer any more.
+    /// Marks a job as orphaned: its connection is closed, and its endpoint learns of that one
+    /// network delay later.
     pub(super) fn orphan_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get_mut(key) else { return };
         job.orphaned = true;
@@ -129,7 +131,7 @@
         self.schedule(self.now + delay, SimEvent::CancelAtEndpoint(key));
     }
 
-    /// A server hears that nobody waits.
+    /// An endpoint learns that a job's connection was closed.
     pub(super) fn cancel_at_endpoint(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(key) else { return };
         let endpoint = job.endpoint;
@@ -158,7 +160,7 @@
         }
     }
 
-    /// A request at a server is gone with whatever was done for it.
+    /// Removes a job and counts the work done for it as wasted.
     pub(super) fn discard_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.remove(key) else { return };
         self.book.wasted_work += job.work_done;
--- a/crates/lab/src/world/calendar.rs
+++ b/crates/lab/src/world/calendar.rs
@@ -1,4 +1,4 @@
-//! What may happen, in which order of two at one moment, and what is planned.
+//! The events of the emulator and the calendar that orders them.
 
 use super::endpoint::Nanos;
 use super::{ClientKey, JobKey, RequestKey};
@@ -7,7 +7,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// What may happen.
+/// An event in virtual time.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum SimEvent {
     Arrival,
@@ -93,18 +93,19 @@
     SecondElapsed,
 }
 
-/// A final answer.
+/// The final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Answer {
     Served,
     Refused(Option<Duration>),
     Failed,
-    /// The sidecar could not be reached, or died.
+    /// The sidecar could not be reached, or its process ended.
     Unreachable,
 }
 
 impl SimEvent {
-    /// Which of two at the same nanosecond goes first: what completes, then what is sent, then event gives up.
+    /// Orders events of the same nanosecond, lowest first: completions before new sends, and both
+    /// before timeouts.
     fn rank(&self) -> u8 {
         match self {
             SimEvent::Trouble { .. } | SimEvent::DrainEndpoint { .. } | SimEvent::StopEndpoint { .. } => 0,
@@ -131,11 +132,12 @@
     }
 }
 
-/// What is planned, by time, rank and number. The heap holds small keys only, and event happens lies in slots that
-/// are used again: at 50,000 requests a second half a million events are planned at any moment.
+/// Scheduled events, ordered by time, rank and sequence number. The heap holds only small keys; the
+/// events themselves lie in reusable slots, because at 50,000 requests per second half a million
+/// events are scheduled at any moment.
 #[derive(Default)]
 pub(super) struct EventCalendar {
-    /// Time, then rank (8 bits) and number (56 bits), then the slot.
+    /// Time, then rank (8 bits) and sequence number (56 bits), then the slot.
     pub(super) keys: BinaryHeap<Reverse<(Nanos, u64, u32)>>,
     slots: Vec<SimEvent>,
     free: Vec<u32>,
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -1,4 +1,5 @@
-//! Clients and the flows that they and servers open at sidecars: arrivals, tries, final answers, patience.
+//! Clients and the requests that they and endpoints send to sidecars: arrivals, retries, final
+//! answers, timeouts.
 
 use super::endpoint::Nanos;
 use super::fleet::share_of;
@@ -7,8 +8,9 @@
 use crate::score::End;
 
 impl World<'_> {
-    /// A client may arrive, and the next candidate is planned. Candidates come at the highest rate of the day
-    /// and are thinned to the rate of the moment (Lewis and Shedler, 1979), so that all policies meet the same.
+    /// A client may arrive, and the next candidate arrival is scheduled. Candidates come at the
+    /// highest rate of the run and are thinned to the current rate (Lewis and Shedler, 1979), so
+    /// that all policies meet the same arrivals.
     pub(super) fn arrive(&mut self) {
         let s = self.scenario;
         let bursts = s.troubles.iter().filter(|t| t.what == What::Burst).map(|t| t.size.to.max(1.0));
@@ -65,7 +67,7 @@
         self.start_try(client);
     }
 
-    /// Work that a request of this size asks of all tiers together.
+    /// The work that a request of this size causes in all tiers together.
     fn offered(&self, work: f64) -> f64 {
         let mut requests = 1.0;
         let mut sum = 0.0;
@@ -76,7 +78,8 @@
         sum
     }
 
-    /// Whether a tenant is beyond its quota now (a bucket of five seconds' worth), one more request counted.
+    /// Whether a tenant exceeds its quota with one more request (a token bucket that holds five
+    /// seconds of quota).
     fn over_quota(&mut self, tenant: usize) -> bool {
         let Some(t) = self.parameters.settings[0].tenants.get(tenant) else { return false };
         let (left, at) = &mut self.quotas[tenant];
@@ -90,14 +93,14 @@
         true
     }
 
-    /// A client sends a try to a sidecar of the first tier.
+    /// A client sends its first request or a retry to a sidecar of the first tier.
     pub(super) fn start_try(&mut self, client: ClientKey) {
         let Some(c) = self.clients.get_mut(client) else { return };
         c.tries += 1;
         let try_no = c.tries;
         let give_up = self.scenario.classes[usize::from(c.class)].give_up.0;
         if try_no > 1 {
-            // A later try has what is left of the whole patience.
+            // A retry has what is left of the client timeout.
             c.timeout = (c.first_sent + give_up).saturating_sub(self.now);
         }
         let deadline = self.now + c.timeout;
@@ -114,7 +117,8 @@
             self.now + delay,
             SimEvent::RequestAtSidecar { client, try_no, sidecar, process, deadline },
         );
-        // A final answer that is in time, on the longest way, comes before this.
+        // A final answer that is in time arrives before this event even with the longest network
+        // delay.
         let longest_transit = 2 * self.scenario.network.client.0 + self.scenario.rules.answer_slack.0;
         self.schedule(deadline + longest_transit, SimEvent::ClientTimeout { client, try_no });
         if let Some(at) = leaves_at {
@@ -207,7 +211,7 @@
         self.release(request);
     }
 
-    /// Brings a final answer to whoever asked.
+    /// Delivers a final answer to the client or to the calling endpoint.
     pub(super) fn deliver(&mut self, request: RequestKey, answer: Answer) {
         let Some(f) = self.requests.get(request) else { return };
         match f.origin {
@@ -219,14 +223,15 @@
         }
     }
 
-    /// Forgets a flow that is answered and has nothing out.
+    /// Removes a request that is answered and has no attempt outstanding.
     pub(super) fn release(&mut self, request: RequestKey) {
         if self.requests.get(request).is_some_and(|f| f.answered && f.outstanding == 0) {
             self.requests.remove(request);
         }
     }
 
-    /// Whoever asked has left.
+    /// The client of a request has gone: notifies the decider unless the request is already
+    /// answered.
     pub(super) fn client_gone(&mut self, request: RequestKey) {
         let Some(f) = self.requests.get_mut(request).filter(|f| !f.answered) else { return };
         f.answered = true;
@@ -235,7 +240,7 @@
         self.release(request);
     }
 
-    /// The latest moment for a final answer has come.
+    /// The latest time for a final answer has passed.
     pub(super) fn deadline_passed(&mut self, request: RequestKey) {
         if self.requests.get(request).is_some_and(|f| !f.answered) {
             self.rules.breach(Rule::OneAnswer, self.now, || "no final answer by its due".into());
@@ -257,7 +262,7 @@
         }
     }
 
-    /// A client's try has had no answer in its time.
+    /// A client's try has timed out without an answer.
     pub(super) fn client_timed_out(&mut self, client: ClientKey, try_no: u32) {
         let Some(c) = self.clients.get_mut(client).filter(|c| c.tries == try_no) else { return };
         let request = c.request.take();
@@ -267,12 +272,12 @@
         self.answer_at_client(client, try_no, Answer::Failed);
     }
 
-    /// An answer is at its client, which is content, tries again or gives up.
+    /// An answer arrives at its client, which is served, retries or gives up.
     pub(super) fn answer_at_client(&mut self, client: ClientKey, try_no: u32, answer: Answer) {
         let Some(c) = self.clients.get_mut(client).filter(|c| c.tries == try_no) else { return };
         let number = c.number;
         let class = &self.scenario.classes[usize::from(c.class)];
-        // Whatever else of this try is on its way means nothing any more.
+        // Anything else of this try that is still in transit no longer matters.
         c.request = None;
         if answer == Answer::Served {
             let took = self.now - c.first_sent;
@@ -295,7 +300,7 @@
         }
         let at = self.now + backoff;
         if may_retry && c.tries <= s.clients.retries && at < c.first_sent + class.give_up.0 {
-            // The number of the try to come, so that nothing of this one counts any more.
+            // The retry gets the next number, so that late events of this try are ignored.
             self.trace_client(number, |_| {
                 format!("{answer:?}; it tries again in {:.0} ms", backoff as f64 / 1e6)
             });
@@ -326,7 +331,7 @@
     }
 }
 
-/// An attempt as the rule on repeats sees it.
+/// An attempt in the form that the rule on repeats needs.
 pub(super) fn earlier_attempt(a: &Attempt) -> rules::EarlierAttempt {
     (a.sent, a.outcome.map(Outcome::never_ran))
 }
--- a/crates/lab/src/world/cold.rs
+++ b/crates/lab/src/world/cold.rs
@@ -1,18 +1,19 @@
-//! Cold servers, which too much work pushes over.
+//! The overload of cold endpoints: one that is sent too much work while it warms up fails.
 
 use super::endpoint::Nanos;
 use super::*;
 use cottonpoint_decide::EndpointState;
 use std::collections::VecDeque;
 
-/// The work that a cold server was sent lately: when, how much, and whether by a sidecar that knew of its start.
+/// The work that a cold endpoint was sent within the window: when, how much, and whether the
+/// sending sidecar knew of the start.
 #[derive(Default)]
 pub(super) struct RecentLoad {
     sent: VecDeque<(Nanos, f64, bool)>,
 }
 
 impl World<'_> {
-    /// Counts work that arrives at a cold server; true when it falls over under it.
+    /// Records work that arrives at a cold endpoint. Returns true if the endpoint fails under it.
     pub(super) fn record_cold_load(&mut self, endpoint: u32, sidecar: u32, work: f64) -> bool {
         let now = self.now;
         let window = self.scenario.rules.fall_after.0;
--- a/crates/lab/src/world/deciders.rs
+++ b/crates/lab/src/world/deciders.rs
@@ -1,4 +1,5 @@
-//! Between the world and the deciders: events go in, what they ask for is carried out.
+//! The interface between the emulator and the deciders: delivers events and performs the returned
+//! actions.
 
 use super::*;
 
@@ -8,7 +9,7 @@
         s.alive && s.process == process
     }
 
-    /// Feeds one event to a sidecar's decider and carries out what it asks for.
+    /// Delivers one event to a sidecar's decider and performs the actions that it returns.
     pub(super) fn deliver_event(&mut self, sidecar: u32, event: Event<'_>) {
         let mut actions = self.action_buffers.pop().unwrap_or_default();
         let time = decider_time(self.now);
@@ -36,7 +37,7 @@
             }
             Action::Fail { id } => self.answer(sidecar, request_key(id), Answer::Failed),
             Action::Cancel { id, attempt } => self.cancel(request_key(id), attempt),
-            // No scenario lets sidecars probe.
+            // The settings of every scenario forbid probes.
             Action::Probe { .. } => {}
             Action::SetTimer { after, token } => {
                 let at = self.now.saturating_add(after.as_nanos() as u64);
--- a/crates/lab/src/world/delayed_view.rs
+++ b/crates/lab/src/world/delayed_view.rs
@@ -1,35 +1,36 @@
-//! The true state of the servers as it was a while ago, for the policy that sees it late.
+//! The true state of the endpoints as it was some time ago, for the policy that sees it with a
+//! delay.
 
 use super::endpoint::{EmulatedEndpoint, Life, Nanos};
 use super::{DrawnParameters, SidecarState};
 use std::collections::VecDeque;
 
-/// How often the state is taken, in nanoseconds: well below the shortest delay of a load report in the shipped
+/// Interval between snapshots: well below the shortest delay of a load report in the shipped
 /// scenarios (31 ms).
 const SNAPSHOT_INTERVAL_NS: Nanos = 10_000_000;
-/// How late the state is seen at a tier without load reports: the longest delay of the shipped scenarios is 150 ms,
-/// the middle one about this.
+/// Delay at a tier without load reports: the longest delay of the shipped scenarios is 150 ms, the
+/// median is about this.
 const DELAY_WITHOUT_REPORTS_NS: Nanos = 100_000_000;
 
-/// What of a server's true state says how long a call would take there.
+/// The part of an endpoint's true state that determines how long a request would take there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointView {
-    /// It is up, fails few requests at once and has room.
+    /// The endpoint is up, fails few requests at once and has room in its slots or queue.
     pub accepts_work: bool,
-    /// Work a second that each core does now.
+    /// Work per second that each core does now.
     pub core_rate: f64,
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Requests that want a core.
+    /// Requests that run or wait for a core.
     pub runnable: usize,
-    /// All its slots are taken.
+    /// All slots are taken.
     pub slots_taken: bool,
-    /// It is close to being slowed by crowding.
+    /// The endpoint is close to the slowdown of crowding.
     pub near_crowding: bool,
 }
 
 impl EndpointView {
-    /// The state of a server now.
+    /// The state of an endpoint now.
     pub fn of(s: &EmulatedEndpoint, now: Nanos) -> EndpointView {
         let up = s.life == Life::Up && s.error_share <= 0.2 && !s.gray;
         let wants = s.runnable();
@@ -47,25 +48,25 @@
     }
 }
 
-/// The states of the last moments, oldest first.
+/// Recent snapshots, oldest first.
 pub(super) struct ViewHistory {
     snapshots: VecDeque<(Nanos, Vec<EndpointView>)>,
-    /// How late each tier's sidecars see the state of its servers.
+    /// The delay with which each tier's sidecars see the state of its endpoints.
     delays: Vec<Nanos>,
 }
 
 impl ViewHistory {
-    /// Views for a day on which some decider wants them.
+    /// A history for the run if any decider uses it.
     pub(super) fn for_deciders(
         sidecars: &[SidecarState],
         parameters: &DrawnParameters,
     ) -> Option<ViewHistory> {
         let delays = parameters.report.iter().map(|r| r.map_or(DELAY_WITHOUT_REPORTS_NS, |r| r.1));
-        let wanted = sidecars.iter().any(|s| s.decider.sees_late());
+        let wanted = sidecars.iter().any(|s| s.decider.uses_delayed_state());
         wanted.then(|| ViewHistory { snapshots: VecDeque::new(), delays: delays.collect() })
     }
 
-    /// Takes the state now, if it is time, and forgets what nobody sees any more.
+    /// Takes a snapshot if the interval has passed, and drops those that no tier needs any more.
     pub(super) fn record(&mut self, now: Nanos, endpoints: &[EmulatedEndpoint]) {
         if self.snapshots.back().is_some_and(|(at, _)| now < at + SNAPSHOT_INTERVAL_NS) {
             return;
@@ -77,12 +78,13 @@
         }
     }
 
-    /// What a sidecar of a tier sees now; nothing in the first moments of a day.
+    /// What a sidecar of a tier sees now; empty until the first snapshot is old enough.
     pub(super) fn visible(&self, now: Nanos, tier: usize) -> &[EndpointView] {
         self.newest(now, tier).map_or(&[], |(_, views)| views)
     }
 
-    /// The newest state that is as old as a tier sees it, with the time at which it was taken.
+    /// The newest snapshot that is at least as old as the tier's delay, with the time at which it
+    /// was taken.
     fn newest(&self, now: Nanos, tier: usize) -> Option<&(Nanos, Vec<EndpointView>)> {
         let delay = self.delays.get(tier).copied().unwrap_or(DELAY_WITHOUT_REPORTS_NS);
         self.snapshots.iter().rev().find(|(at, _)| at + delay <= now)
@@ -93,7 +95,8 @@
 mod tests {
     use super::*;
 
-    /// Guards against: a view that is fresher than its tier's delay, or one forgotten that a slower tier still sees.
+    /// Guards against a view that is fresher than its tier's delay, and against dropping a snapshot
+    /// that a slower tier still needs.
     #[test]
     fn each_tier_sees_the_state_as_old_as_its_delay() {
         let mut views = ViewHistory { snapshots: VecDeque::new(), delays: vec![0, 30_000_000, 90_000_000] };
--- a/crates/lab/src/world/endpoint.rs
+++ b/crates/lab/src/world/endpoint.rs
@@ -1,69 +1,70 @@
-//! One server: cores shared by the requests in work, slots, a waiting room, warming up, crowding.
-//!
-//! Requests in work share the cores evenly (processor sharing). With `n` of them running, each gets
-//! `min(1, cores / n)` of a core; with as many slots as cores that is first come, first served. The state keeps
-//! one *service clock* that runs at the rate of each running request: a request with work `w` is done when the
-//! clock has gone on by `w` since it began. So a change of rate costs nothing per request.
+//! One emulated endpoint: cores shared by the requests in service, slots, a queue, slow start,
+//! crowding.
+//! Requests in service share the cores evenly (processor sharing). With `n` of them running, each
+//! gets `min(1, cores / n)` of a core; with as many slots as cores that is first come, first
+//! served. The state keeps one *service clock* that advances at the service rate of each running
+//! request: a request with work `w` is done when the clock has advanced by `w` since it began. A
+//! change of rate therefore costs nothing per request.
 
 use super::JobKey;
 pub use super::spec::{CrowdingSpec, EndpointSpec};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// Nanoseconds since the start of the day.
+/// Nanoseconds since the start of the run.
 pub type Nanos = u64;
 
-/// What a server's process is doing.
+/// The state of an endpoint's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Life {
-    /// It takes work.
+    /// The process accepts work.
     Up,
-    /// It finishes what it has and turns new work away.
+    /// The process finishes what it has and rejects new work.
     Draining,
-    /// It has ended; connections are refused.
+    /// The process has ended; connections are refused.
     Down,
-    /// The machine is there no more and says nothing.
+    /// The machine is gone; connections stay silent.
     Vanished,
 }
 
-/// What happens with a request that arrives.
+/// What happens to a request that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is in work.
+    /// The request has a slot.
     InService,
-    /// It waits for a slot.
+    /// The request waits for a slot.
     Queued,
-    /// It is turned away unseen.
+    /// The request is rejected without being processed.
     Full,
 }
 
-/// A load report: completions a second and utilisation.
+/// A load report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Reading {
     /// When it was made.
     pub at: Nanos,
-    /// Completions a second.
+    /// Completions per second.
     pub rate: f64,
-    /// Utilisation of the cores.
+    /// Utilization of the cores.
     pub utilization: f64,
 }
 
-/// A server.
+/// An emulated endpoint.
 #[derive(Debug)]
 pub struct EmulatedEndpoint {
-    /// What it is made of.
+    /// Its properties.
     pub spec: EndpointSpec,
-    /// What its process is doing.
+    /// The state of its process.
     pub life: Life,
     /// When its process last started; `None` for long ago.
     pub started: Option<Nanos>,
-    /// Counts its processes: what belongs to an earlier one is void.
+    /// Number of the current process: events and connections of earlier ones are ignored.
     pub process: u32,
-    /// Times slower for troubles of its own and shared ones.
+    /// Factor by which it is slower because of troubles, its own and shared ones.
     pub slowdown: f64,
     /// Share of requests that fail at once.
     pub error_share: f64,
-    /// It takes work and finishes none, and reports well.
+    /// It accepts work, finishes none, and reports low load.
     pub gray: bool,
     /// Open connections.
     pub open_connections: usize,
@@ -71,30 +72,30 @@
     pub slowed_since: Option<Nanos>,
     crowded_since: Option<Nanos>,
     idle_since: Option<Nanos>,
-    /// Requests that run, waiting for none but the cores.
+    /// Requests that run on the cores.
     running: usize,
-    /// Requests that hold a slot, calling the next tier included.
+    /// Requests that hold a slot, including those that wait for a call to the next tier.
     occupied_slots: usize,
     waiting: VecDeque<JobKey>,
     service_clock: f64,
     service_clock_at: Nanos,
-    /// The service rate of each running request since the last change of plan.
+    /// The service rate of each running request since the last rescheduling.
     service_rate: f64,
     completions: BinaryHeap<Reverse<(u64, JobKey)>>,
-    /// Counts the changes of plan: an event of an earlier plan is void.
+    /// Counts the reschedulings of the next completion: an event of an earlier schedule is ignored.
     pub schedule_version: u32,
-    /// Core seconds in use since the start.
+    /// Core seconds in use since the start of the run.
     pub busy_core_seconds: f64,
-    /// Requests completed since the start.
+    /// Requests completed since the start of the run.
     pub completed: u64,
-    /// Work done since the start, in seconds of a core of speed 1.
+    /// Work done since the start of the run, in seconds of a core of speed 1.
     pub worked: f64,
     readings: [Reading; 2],
     last_reading: (Nanos, f64, u64),
 }
 
 impl EmulatedEndpoint {
-    /// An idle server.
+    /// An idle endpoint.
     pub fn new(spec: EndpointSpec, started: Option<Nanos>, now: Nanos) -> EmulatedEndpoint {
         EmulatedEndpoint {
             spec,
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Its capacity at a time as a share of its full one, for its warmth alone.
+    /// The share of its full capacity that it has at a time, considering only slow start.
     pub fn warmth(&self, now: Nanos) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let age = now.saturating_sub(started) as f64 / 1e9;
@@ -134,7 +135,7 @@
         self.spec.cold_from + (1.0 - self.spec.cold_from) * age / self.spec.cold_for
     }
 
-    /// Work a second that it can do now, all cores together, in seconds of a core of speed 1.
+    /// Work per second that it can do now, all cores together, in seconds of a core of speed 1.
     pub fn capacity(&self, now: Nanos) -> f64 {
         let b = &self.spec;
         let crowd = (self.occupied_slots as f64 / b.cores - b.thrash_at).max(0.0);
@@ -148,17 +149,18 @@
             / ((1.0 + b.thrash * crowd) * self.slowdown * choke)
     }
 
-    /// What it could do if nothing but its warmth held it back: the measure of the rule on cold servers.
+    /// Work per second that it could do now if only slow start reduced its capacity. The rule on
+    /// cold endpoints is measured against it.
     pub fn undisturbed_capacity(&self, now: Nanos) -> f64 {
         self.spec.cores * self.spec.speed * self.warmth(now)
     }
 
-    /// Requests in work or waiting.
+    /// Requests in service or queued.
     pub fn occupancy(&self) -> usize {
         self.occupied_slots + self.waiting.len()
     }
 
-    /// Requests that want a core.
+    /// Requests that run or wait for a core.
     pub fn runnable(&self) -> usize {
         self.running + self.waiting.len()
     }
@@ -168,8 +170,8 @@
         self.capacity(now) / self.spec.cores * (self.spec.cores / self.running.max(1) as f64).min(1.0)
     }
 
-    /// Brings the service clock up to a time, at the rate of the last change of plan: what changes the rate in
-    /// between (warmth, connections) takes hold with the next one.
+    /// Advances the service clock to a time, at the rate of the last rescheduling. What changes the
+    /// rate in between (warm-up, connections) takes effect with the next rescheduling.
     pub fn advance(&mut self, now: Nanos) {
         let passed = now.saturating_sub(self.service_clock_at) as f64 / 1e9;
         if self.running > 0 && passed > 0.0 {
@@ -180,14 +182,16 @@
         self.service_clock_at = now;
     }
 
-    /// When the next running request is done, if nothing changes; `alive` tells whether a key still runs.
+    /// When the next running request is done if nothing changes. `is_running` tells whether a job
+    /// still runs.
     pub fn next_completion(&mut self, is_running: impl Fn(JobKey) -> bool) -> Option<Nanos> {
         self.service_rate = self.rate(self.service_clock_at);
         while let Some(&Reverse((at, job))) = self.completions.peek() {
             if is_running(job) {
                 let left = (f64::from_bits(at) - self.service_clock).max(0.0);
                 let wait = left / self.service_rate * 1e9;
-                // Rounded up, so that it is done by then; a thousandth of a nanosecond is rounding error.
+                // Rounded up, so that the request is done by then; less than a thousandth of a
+                // nanosecond is rounding error.
                 return Some(
                     self.service_clock_at.saturating_add((wait - 1e-3).ceil().clamp(0.0, 1e18) as u64),
                 );
@@ -197,7 +201,7 @@
         None
     }
 
-    /// The running request that is done by now, taken from the cores but not from its slot.
+    /// A running request that is done by now, removed from the cores but not from its slot.
     pub fn take_finished(&mut self, now: Nanos, is_running: impl Fn(JobKey) -> bool) -> Option<JobKey> {
         self.advance(now);
         while let Some(&Reverse((at, job))) = self.completions.peek() {
@@ -211,7 +215,8 @@
             }
             self.completions.pop();
             self.running -= 1;
-            // Times are whole nanoseconds: what the cores did for it beyond its end was done for nobody.
+            // Times are whole nanoseconds: what the cores did for the request beyond its end is not
+            // counted as work.
             self.worked -= self.service_clock - f64::from_bits(at);
             self.service_rate = self.rate(now);
             return Some(job);
@@ -219,7 +224,7 @@
         None
     }
 
-    /// Lets a request run that holds a slot, with this much work ahead of it (seconds of a core of speed 1).
+    /// Starts a request that holds a slot, with this much work (seconds of a core of speed 1).
     /// Returns the reading of the service clock at which it is done.
     pub fn run(&mut self, now: Nanos, job: JobKey, work: f64) -> f64 {
         self.advance(now);
@@ -230,19 +235,20 @@
         done
     }
 
-    /// Work that a running request still has ahead of it, given the reading at which it is done.
+    /// The remaining work of a running request, given the reading at which it is done.
     pub fn remaining_work(&self, done: f64) -> f64 {
         (done - self.service_clock).max(0.0)
     }
 
-    /// Takes a running request off the cores before it is done; its key must be dead from now on.
+    /// Removes a running request from the cores before it is done. `is_running` must be false for
+    /// its key from now on.
     pub fn remove_running(&mut self, now: Nanos) {
         self.advance(now);
         self.running = self.running.saturating_sub(1);
         self.service_rate = self.rate(now);
     }
 
-    /// Lets a request in: into a slot, into the waiting room, or not at all.
+    /// Admits a request to a slot or the queue, or rejects it.
     pub fn admit(&mut self, job: JobKey) -> Admission {
         if self.occupied_slots < self.spec.slots {
             self.occupied_slots += 1;
@@ -255,7 +261,7 @@
         }
     }
 
-    /// Gives a slot back; the request that has waited for longest takes it.
+    /// Releases a slot; the request that has queued longest takes it.
     pub fn release_slot(&mut self) -> Option<JobKey> {
         match self.waiting.pop_front() {
             Some(next) => Some(next),
@@ -266,12 +272,12 @@
         }
     }
 
-    /// Takes a request out of the waiting room.
+    /// Removes a request from the queue.
     pub fn remove_queued(&mut self, job: JobKey) {
         self.waiting.retain(|&other| other != job);
     }
 
-    /// The process ends: whatever it held is void.
+    /// Ends the process and discards all that it held.
     pub fn stop_process(&mut self, now: Nanos, life: Life) {
         self.advance(now);
         self.life = life;
@@ -285,19 +291,20 @@
         self.last_reading = (now, self.busy_core_seconds, self.completed);
     }
 
-    /// A new process starts, cold.
+    /// Starts a new process, cold.
     pub fn start_process(&mut self, now: Nanos) {
         (self.life, self.started, self.service_clock_at) = (Life::Up, Some(now), now);
     }
 
-    /// Looks whether crowding begins or ends; to be called at each change and once in a while. Returns whether
-    /// the rate has changed.
+    /// Checks whether crowding begins or ends; must be called at each change and at
+    /// [`Self::next_crowding_check`]. Returns whether the rate has changed.
     pub fn check_crowding(&mut self, now: Nanos) -> bool {
         let Some(c) = self.spec.choke else { return false };
         let waiting = self.runnable().saturating_sub(self.spec.cores as usize) as f64;
         if let Some(since) = self.slowed_since {
-            // "Mostly idle": no core is wanted for more than the stated share. The waiting line stands in for
-            // the utilisation of the moment, over the time that it has been so.
+            // "Mostly idle" means that no more than the stated share of the cores is in use. The
+            // number of running requests stands in for the current utilization, over the time that
+            // it has been low.
             let idle = (self.running as f64 / self.spec.cores) < c.idle_utilization.max(1e-9);
             self.idle_since = if idle { self.idle_since.or(Some(now)) } else { None };
             let rested = self.idle_since.is_some_and(|at| now.saturating_sub(at) >= c.idle_time);
@@ -321,7 +328,7 @@
         false
     }
 
-    /// When crowding should be looked at again.
+    /// When crowding must be checked again.
     pub fn next_crowding_check(&self) -> Option<Nanos> {
         let c = self.spec.choke?;
         match (self.slowed_since, self.crowded_since, self.idle_since) {
@@ -332,7 +339,7 @@
         }
     }
 
-    /// The report that goes out with an answer: made anew once in a period, handed out after a delay.
+    /// The load report sent with an answer: made anew once per period and handed out after a delay.
     pub fn report(
         &mut self,
         now: Nanos,
@@ -354,7 +361,7 @@
         }
         let [new, old] = self.readings;
         if self.gray {
-            // It reports what it would like to be.
+            // A gray endpoint reports low load whatever its state.
             return Reading { at: now, rate: 1.0 / 0.05, utilization: 0.1 };
         }
         if now >= new.at + delay { new } else { old }
--- a/crates/lab/src/world/fleet.rs
+++ b/crates/lab/src/world/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet as a seed draws it, and what each tier's deciders are told of it.
+//! Draws the fleet from the seed and derives the settings of each tier's deciders.
 
 use super::DrawnParameters;
 use super::endpoint::{CrowdingSpec, EmulatedEndpoint, EndpointSpec};
@@ -6,7 +6,7 @@
 use crate::scenario::{Effect, Kind, Scenario};
 use cottonpoint_decide as decide;
 
-/// Draws the servers of all tiers and the figures of the day.
+/// Draws the endpoints of all tiers and the parameters of the run.
 pub(super) fn draw(s: &Scenario, draw: &mut Draw) -> (Vec<EmulatedEndpoint>, DrawnParameters) {
     let class_weights: Vec<f64> = s.classes.iter().map(|c| draw.span(c.share)).collect();
     let class_work: Vec<f64> = s.classes.iter().map(|c| draw.length(c.work) as f64 / 1e9).collect();
@@ -17,7 +17,8 @@
     let mut endpoints = Vec::new();
     let mut calls = Vec::new();
     let mut report = Vec::new();
-    // Requests of a tier for each request of a client, and what the tier that runs out first can do.
+    // Requests of a tier per client request, and the rate of client requests that the scarcest tier
+    // can sustain.
     let (mut requests, mut max_rate) = (1.0, f64::INFINITY);
     for (t, tier) in s.tiers.iter().enumerate() {
         let count = draw.span(tier.servers).round().max(1.0) as usize;
@@ -62,7 +63,7 @@
     (endpoints, parameters)
 }
 
-/// The index of the weight that a share of their sum falls into.
+/// The index of the weight that a share (0 to 1) of their sum falls into.
 pub fn share_of(weights: &[f64], share: f64) -> usize {
     let mut left = share * weights.iter().sum::<f64>();
     for (i, w) in weights.iter().enumerate() {
@@ -95,8 +96,9 @@
     }
 }
 
-/// What the deciders of a tier are told at their start. The coldest and slowest start stated for any of the
-/// tier's kinds is the obligation, as on the platform: the truth of a day is drawn and not told.
+/// The settings that the deciders of a tier start with. Slow start is described by the coldest and
+/// slowest start that the scenario states for any of the tier's kinds, as on the platform: the
+/// values drawn for a run are not disclosed.
 fn settings(s: &Scenario, tier: usize, quota: f64) -> decide::Settings {
     let kinds = &s.tiers[tier].kinds;
     let cold_from = kinds.iter().map(|k| k.cold_from.from).fold(1.0, f64::min);
--- a/crates/lab/src/world/lifecycle.rs
+++ b/crates/lab/src/world/lifecycle.rs
@@ -1,10 +1,10 @@
-//! What happens to sidecars and servers: starts, ends, and what each second brings.
+//! Starts and ends of sidecars and endpoints, and the periodic work of each second.
 
 use super::endpoint::Life;
 use super::*;
 
 impl World<'_> {
-    /// Makes the next sidecar of a tier, which is told the list as it stands.
+    /// Adds a sidecar to a tier and delivers the current endpoint list to it.
     pub(super) fn add_sidecar(&mut self, tier: usize) -> u32 {
         let index_in_tier = self.sidecars.iter().filter(|s| s.tier == tier).count() as u32;
         let number = self.sidecars.len() as u32;
@@ -26,7 +26,7 @@
         number
     }
 
-    /// The sidecar beside a server that calls a further tier.
+    /// Adds the sidecar of an endpoint that calls a further tier.
     pub(super) fn add_endpoint_sidecar(&mut self, endpoint: u32) {
         let tier = self.endpoints[endpoint as usize].spec.tier;
         if tier + 1 < self.scenario.tiers.len() {
@@ -47,7 +47,7 @@
         (self.make_decider)(settings, seed, decider_time(self.now))
     }
 
-    /// Starts a sidecar again that was killed; it knows nothing but the list.
+    /// Restarts a killed sidecar, which knows nothing but the current list.
     pub(super) fn restart_sidecar(&mut self, number: u32) {
         let (tier, index_in_tier, process) = {
             let s = &self.sidecars[number as usize];
@@ -62,7 +62,7 @@
         self.deliver_full_list(number);
     }
 
-    /// A sidecar's process ends with all that it knew.
+    /// Ends a sidecar's process; its state is lost. If `silent`, its clients do not notice.
     pub(super) fn kill_sidecar(&mut self, number: u32, silent: bool) {
         let sidecar_state = &mut self.sidecars[number as usize];
         if !sidecar_state.alive {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// A server's process ends, or its machine vanishes without a word.
+    /// Ends an endpoint's process. If `silent`, its machine vanishes and connections are not reset.
     pub(super) fn kill_endpoint(&mut self, endpoint: u32, silent: bool) {
         let process = self.endpoints[endpoint as usize].process;
         let affected = self.jobs.iter().filter(|(_, j)| j.endpoint == endpoint && j.process == process);
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Once a second: cold servers have become warmer, old idle connections are closed, figures are taken.
+    /// Runs once per second: updates the rate of warming endpoints, closes connections that were
+    /// idle too long, records the second's figures.
     pub(super) fn every_second(&mut self) {
         let now = self.now;
         let mut crowded = 0;
@@ -155,7 +156,7 @@
         if now < self.scenario.length.0 || !self.clients.is_empty() {
             self.schedule(now + 1_000_000_000, SimEvent::SecondElapsed);
         } else {
-            // The day is over; what only keeps itself going is left alone.
+            // The run is over: drops the timers, which would otherwise keep rearming themselves.
             self.calendar.retain(|what| !matches!(what, SimEvent::TimerFired { .. }));
             for sidecar_state in &mut self.sidecars {
                 sidecar_state.process += 1;
--- a/crates/lab/src/world/listing.rs
+++ b/crates/lab/src/world/listing.rs
@@ -1,4 +1,4 @@
-//! The list of servers: what stands in it, and who is told when.
+//! The endpoint list as discovery has it, and the delivery of its changes to sidecars.
 
 use super::endpoint::{Life, Nanos};
 use super::*;
@@ -15,7 +15,8 @@
         self.schedule(at, SimEvent::ListChange { endpoint, state });
     }
 
-    /// A change is in the list, unless the server has changed again since; those who watch are told.
+    /// Applies a change to the list, unless the endpoint has changed again since, and schedules its
+    /// delivery to the watching sidecars.
     pub(super) fn apply_list_change(&mut self, endpoint: u32, state: EndpointState) {
         let s = &self.endpoints[endpoint as usize];
         let current = match state {
@@ -62,7 +63,8 @@
         self.deliver_event(sidecar, Event::Endpoints { kind: ListKind::Delta, entries: &[entry] });
     }
 
-    /// Keeps what a sidecar has been told, and closes its idle connections to what wants nothing new.
+    /// Records what a sidecar has been notified of, and closes its idle connections to an endpoint
+    /// that is not ready.
     pub(super) fn record_notification(
         &mut self,
         sidecar: u32,
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -1,8 +1,8 @@
-//! The emulator: a day in virtual time, event by event, with one decider for each sidecar.
-//!
-//! Everything that happens is an event with a time, a rank and a number. Of two at the same nanosecond the lower
-//! rank goes first (answers before those who give up waiting for them), then the one that
-//! was planned first. Memory follows what is open at the moment, never how much has passed.
+//! The emulator: a discrete-event simulation in virtual time, with one decider for each sidecar.
+//! Each event has a time, a rank and a sequence number. Of two events at the same nanosecond the
+//! one with the lower rank is processed first (answers before the timeouts that wait for them),
+//! then the one that was scheduled first. Memory use follows what is open at the moment, not the
+//! length of the run.
 
 mod answers;
 mod calendar;
@@ -42,25 +42,26 @@
 use std::time::Duration;
 
 new_key_type! {
-    /// A request at a sidecar.
+    /// Identifies a request at a sidecar.
     pub struct RequestKey;
-    /// A request at a server.
+    /// Identifies a request at an endpoint.
     pub struct JobKey;
-    /// A client with all its tries.
+    /// Identifies a client with all its tries.
     pub struct ClientKey;
 }
 
-/// Where the deciders' clock stands at the start of a day: later than any start "long ago".
+/// Reading of the deciders' clock at the start of a run, large enough that every earlier start time
+/// is positive.
 const DECIDER_CLOCK_START_NS: u64 = 1 << 50;
 
-/// Who asked a sidecar.
+/// Who sent a request to a sidecar.
 #[derive(Clone, Copy, Debug)]
 enum Origin {
     Client(ClientKey, u32),
     Job(JobKey),
 }
 
-/// One attempt of a flow.
+/// One attempt of a request.
 #[derive(Clone, Debug)]
 struct Attempt {
     job: Option<JobKey>,
@@ -82,7 +83,7 @@
     outstanding: u8,
     /// Work of the request over all tiers, in seconds of a core of speed 1.
     work: f64,
-    /// Names its draws.
+    /// Selects the request's streams of random draws.
     key: u64,
 }
 
@@ -90,14 +91,15 @@
 enum Stage {
     InTransit,
     Queued,
-    /// Running; the reading of the server's clock at which it is done, and the work of this part.
+    /// Running: the reading of the endpoint's service clock at which the work is done, and the
+    /// amount of work.
     Running(f64, f64),
     CallingNextTier(Option<RequestKey>),
-    /// Its answer is on the way.
+    /// The answer is on its way to the sidecar.
     AnswerInTransit(Outcome),
 }
 
-/// A request at a server.
+/// A request at an endpoint: the receiving side of an attempt.
 #[derive(Clone, Debug)]
 struct Job {
     request: RequestKey,
@@ -106,14 +108,14 @@
     process: u32,
     sidecar: u32,
     stage: Stage,
-    /// Nobody waits for it any more.
+    /// The sidecar no longer waits for the answer.
     orphaned: bool,
     new_connection: bool,
     work_before_calls: f64,
     work_after_calls: f64,
     calls_left: u8,
     ordinal: u8,
-    /// Work done for it so far, in all tiers.
+    /// Work done for the request so far, in all tiers.
     work_done: f64,
     class: u16,
     tenant: u16,
@@ -122,7 +124,7 @@
     key: u64,
 }
 
-/// A client with all its tries.
+/// A client with all its tries, that is its first request and its retries.
 #[derive(Clone, Debug)]
 struct Client {
     number: u64,
@@ -141,7 +143,7 @@
     attempt_sent: bool,
 }
 
-/// A sidecar as the world knows it.
+/// The emulator's state of a sidecar.
 struct SidecarState {
     tier: usize,
     index_in_tier: u32,
@@ -156,21 +158,21 @@
     poll_failed: bool,
 }
 
-/// Idle connections of one sidecar to one process of one server.
+/// Idle connections of one sidecar to one process of an endpoint.
 #[derive(Default)]
 struct Pool {
     process: u32,
     idle: Vec<Nanos>,
 }
 
-/// A cut between some sidecars and some servers, by index.
+/// A partition between some sidecars and some endpoints, by index.
 struct Partition {
     trouble: u32,
     sidecars: Vec<bool>,
     endpoints: Vec<bool>,
 }
 
-/// What of the fleet is as drawn.
+/// Parameters of the run that were drawn from the seed.
 struct DrawnParameters {
     settings: Vec<Settings>,
     class_weights: Vec<f64>,
@@ -178,7 +180,7 @@
     class_cv: Vec<f64>,
     class_noise: Vec<f64>,
     tenant_weights: Vec<f64>,
-    /// Share of the whole patience that a first try has.
+    /// Share of the client timeout that a first try has.
     try_share: f64,
     rate: f64,
     calls: Vec<f64>,
@@ -188,7 +190,7 @@
 /// Makes the decider of one sidecar.
 pub type Maker<'a> = &'a (dyn Fn(Settings, u64, Time) -> Box<dyn Decider> + Sync);
 
-/// A running day.
+/// A run in progress.
 pub struct World<'a> {
     scenario: &'a Scenario,
     seed: u64,
@@ -199,9 +201,9 @@
     decisions: u64,
     endpoints: Vec<EmulatedEndpoint>,
     sidecars: Vec<SidecarState>,
-    /// Sidecars of the first tier, which come first.
+    /// Number of sidecars of the first tier; they have the lowest indices.
     first_tier_sidecars: usize,
-    /// The sidecar beside a server, if it calls a further tier.
+    /// The sidecar of an endpoint that calls a further tier.
     sidecar_of: FxHashMap<u32, u32>,
     registry: Vec<BTreeMap<u32, (cottonpoint_decide::EndpointState, Option<Nanos>)>>,
     listed_at: FxHashMap<u32, Nanos>,
@@ -220,14 +222,14 @@
     partitions: Vec<Partition>,
     affected: BTreeMap<u32, Vec<u32>>,
     cold_load: FxHashMap<u32, cold::RecentLoad>,
-    /// Servers that were pushed over: they stay down.
+    /// Endpoints that failed because they were overloaded while cold; they stay down.
     overloaded: Vec<u32>,
-    /// The true state a while ago, where a decider looks at it.
+    /// Past true states, if any decider uses them.
     delayed_views: Option<delayed_view::ViewHistory>,
     rules: Rules,
     book: Book,
     action_buffers: Vec<Vec<Action>>,
-    /// Which client's life is written down, and what was.
+    /// The client whose events are traced, and its trace.
     traced: Option<u64>,
     trace: Vec<String>,
 }
@@ -249,7 +251,7 @@
 }
 
 impl<'a> World<'a> {
-    /// A day that has not begun. `maker` makes the decider of each sidecar.
+    /// A run that has not begun. `maker` makes the decider of each sidecar.
     pub fn new(scenario: &'a Scenario, seed: u64, make_decider: Maker<'a>) -> World<'a> {
         let mut fleet = Draw::new(seed, Purpose::Fleet, 0);
         let (endpoints, parameters) = fleet::draw(scenario, &mut fleet);
@@ -312,7 +314,7 @@
         world
     }
 
-    /// Writes down the life of the client of that number, counted from 0 in the order of arrival.
+    /// Traces the events of one client, numbered from 0 in the order of arrival.
     pub fn trace(mut self, client: u64) -> World<'a> {
         self.traced = Some(client);
         self
@@ -337,7 +339,7 @@
         }
     }
 
-    /// The number of the client that a flow, through whatever tiers, is for.
+    /// The number of the client that a request, through any number of tiers, belongs to.
     fn client_of(&self, request: RequestKey) -> Option<u64> {
         let mut request = request;
         loop {
@@ -348,7 +350,7 @@
         }
     }
 
-    /// Plays the next event; false when nothing is left to happen.
+    /// Processes the next event; returns false when none is left.
     pub fn step(&mut self) -> bool {
         let Some((at, event)) = self.calendar.next() else { return false };
         self.now = at;
--- a/crates/lab/src/world/result.rs
+++ b/crates/lab/src/world/result.rs
@@ -1,15 +1,15 @@
-//! A day played to its end, what came of it, and whether all of it adds up.
+//! Runs to the end, their results, and the audit of their totals.
 
 use super::*;
 
 impl World<'_> {
-    /// Plays the day to its end: until the last client has had its answer or gone.
+    /// Runs until the last client has had its answer or has left.
     pub fn play(mut self) -> Played {
         while self.step() {}
         self.into_played()
     }
 
-    /// What came of it, as far as it has been played.
+    /// The results so far.
     pub fn into_played(mut self) -> Played {
         let endpoints = self.endpoints.iter_mut().map(|s| {
             s.advance(self.now);
@@ -32,18 +32,20 @@
         }
     }
 
-    /// The time, in nanoseconds since the start of the day.
+    /// The time, in nanoseconds since the start of the run.
     pub fn now(&self) -> Nanos {
         self.now
     }
 
-    /// Events, flows, requests at servers and clients that are held in memory now.
+    /// Scheduled events, requests at sidecars, requests at endpoints and clients held in memory
+    /// now.
     pub fn held(&self) -> [usize; 4] {
         [self.calendar.keys.len(), self.requests.len(), self.jobs.len(), self.clients.len()]
     }
 
-    /// Whether nothing got lost: each client is open or has ended once, each piece of work done is for an answer
-    /// that was had, for nothing, or under way. Returns what does not add up.
+    /// Checks conservation: each client is open or has ended once, and all work done is accounted
+    /// for as useful, wasted or in progress. Returns a description of the difference if there is
+    /// one.
     pub fn audit(&mut self) -> Result<(), String> {
         let b = &self.book;
         let ended = b.served + b.late + b.refused + b.failed + b.left;
@@ -73,19 +75,19 @@
     }
 }
 
-/// What came of a day.
+/// The results of a run.
 #[derive(Debug)]
 pub struct Played {
-    /// All that was counted.
+    /// The collected statistics.
     pub book: Book,
     /// The first breaches of rules, each with its time and cause.
     pub breaches: Vec<Breach>,
-    /// Breaches by rule, in the order of [`Rule::ALL`].
+    /// Number of breaches by rule, in the order of [`Rule::ALL`].
     pub breach_count: [u64; 5],
-    /// Events played.
+    /// Events processed.
     pub happened: u64,
-    /// Events fed to deciders.
+    /// Events delivered to deciders.
     pub decisions: u64,
-    /// The life of the traced client.
+    /// The trace of the client selected by [`World::trace`].
     pub trace: Vec<String>,
 }
--- a/crates/lab/src/world/rules.rs
+++ b/crates/lab/src/world/rules.rs
@@ -1,26 +1,27 @@
-//! The rules, checked at each step of every flow, by what passes between sidecars and the world.
+//! The rules that every policy must keep, checked on what passes between sidecars and the emulator.
 
 use super::endpoint::Nanos;
 use crate::scenario::{Effect, Scenario};
 use serde::Serialize;
 use std::fmt;
 
-/// Breaches that are kept with their cause; all are counted.
+/// Breaches kept with their cause; all breaches are counted.
 const MAX_KEPT_BREACHES: usize = 50;
 
-/// A rule.
+/// A rule that every policy must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// One final answer for each flow before its due.
+    /// Each request gets exactly one final answer, by its deadline.
     OneAnswer,
-    /// What may have run goes out again only if its class allows; refusals promise that trying again is safe.
+    /// What may have run is sent again only if its class allows it, and is refused only if a client
+    /// retry is safe.
     NoRepeat,
-    /// One attempt of a flow is out at a time.
+    /// At most one attempt of a request is outstanding, unless the scenario allows duplicates.
     OneOut,
-    /// Nothing new goes to a draining or gone server after the grace.
+    /// No new attempt goes to a draining or removed endpoint after the grace period.
     Drains,
-    /// No cold server is pushed over.
+    /// No cold endpoint is overloaded.
     Cold,
 }
 
@@ -32,9 +33,9 @@
 /// A breach of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Breach {
-    /// Which one.
+    /// The rule.
     pub rule: Rule,
-    /// When, in nanoseconds since the start of the day.
+    /// When, in nanoseconds since the start of the run.
     pub at: Nanos,
     /// What happened.
     pub cause: String,
@@ -46,18 +47,19 @@
     }
 }
 
-/// Requests of mean work within the time that the rule on cold servers names beyond which one falls, where its
-/// multiple of what the server can do allows `allowed` of them: chance alone brings more than the mean. The operators
-/// state it (standing fleet test, "Days at full size").
+/// The number of requests of mean work, within the overload window, beyond which a cold endpoint
+/// fails, where `allowed` of them correspond to the stated multiple of its capacity. The margin is
+/// there because chance alone brings more than the mean. The operators state this formula (standing
+/// fleet test, "Days at full size").
 pub fn tolerated_requests(allowed: f64) -> f64 {
     allowed + 3.0 * libm::sqrt(allowed) + 3.0
 }
 
-/// The rule on cold servers is broken by a fall of which more than this share came from sidecars that had been told of
-/// the start.
+/// An overload breaks the rule on cold endpoints only if more than this share of the work came from
+/// sidecars that had been notified of the start.
 const INFORMED_SHARE: f64 = 2.0 / 3.0;
 
-/// The checker: what each class allows, and what was broken so far.
+/// Checks the rules: holds what each class allows and the breaches found so far.
 pub(super) struct Rules {
     effects: Vec<(Effect, Nanos)>,
     may_duplicate: bool,
@@ -66,8 +68,8 @@
     pub(super) count: [u64; 5],
 }
 
-/// One earlier attempt, as the rule on repeats sees it: when it went out, and whether it is proven never to have
-/// run; `None` while it is out.
+/// An earlier attempt, as the rule on repeats needs it: when it was sent, and whether it is proven
+/// never to have run; `None` while it is outstanding.
 pub(super) type EarlierAttempt = (Nanos, Option<bool>);
 
 impl Rules {
@@ -89,7 +91,7 @@
         }
     }
 
-    /// A further attempt of a flow goes out.
+    /// Checks a further attempt of a request.
     pub(super) fn check_send(
         &mut self,
         now: Nanos,
@@ -120,7 +122,7 @@
         }
     }
 
-    /// A flow is refused.
+    /// Checks the refusal of a request.
     pub(super) fn check_refusal(&mut self, now: Nanos, class: u16, earlier: &[EarlierAttempt]) {
         let ran = earlier.iter().any(|e| e.1 != Some(true));
         if ran && matches!(self.effects.get(usize::from(class)), Some((Effect::Unsafe, _))) {
@@ -130,7 +132,8 @@
         }
     }
 
-    /// A cold server has fallen under `all` work, `told` of it from sidecars that had been told of its start.
+    /// Checks the overload of a cold endpoint under `all_work`, of which `informed_work` came from
+    /// sidecars that had been notified of its start.
     pub(super) fn check_overload(
         &mut self,
         now: Nanos,
@@ -143,7 +146,8 @@
         }
     }
 
-    /// An attempt goes to a server that the sidecar was told drains or is gone.
+    /// Checks an attempt to an endpoint of which the sidecar was notified that it drains or was
+    /// removed.
     pub(super) fn check_unready_send(&mut self, now: Nanos, notified_at: Nanos, endpoint: u32) {
         let late = now.saturating_sub(notified_at);
         if late > self.drain_grace {
@@ -159,9 +163,10 @@
 mod tests {
     use super::*;
 
-    /// Guards against: another slack than the operators state, and a fall blamed on those told who sent too little of it.
+    /// Guards against a tolerance other than the one that the operators state, and against blaming
+    /// informed sidecars that sent too small a part of the work.
     #[test]
-    fn a_cold_server_stands_what_is_stated_and_those_told_answer_for_over_two_thirds() {
+    fn cold_endpoint_tolerates_the_stated_load_and_informed_share_above_two_thirds_is_a_breach() {
         for (allowed, most) in [(0.0, 3.0), (1.0, 7.0), (4.0, 13.0), (25.0, 43.0)] {
             assert_eq!(tolerated_requests(allowed), most);
         }
--- a/crates/lab/src/world/spec.rs
+++ b/crates/lab/src/world/spec.rs
@@ -1,65 +1,65 @@
-//! What a server is made of; a seed draws it once.
+//! The properties of an emulated endpoint, drawn once from the seed.
 
 use super::endpoint::Nanos;
 use crate::scenario::Choke;
 
-/// What a server is made of; drawn once.
+/// The properties of an emulated endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointSpec {
-    /// Its tier.
+    /// The tier, by index.
     pub tier: usize,
-    /// Its kind, counted over all tiers' kinds in the tier's own order.
+    /// The machine kind, by its index within the tier.
     pub kind: usize,
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Work done by a core in a second.
+    /// Work that a core does per second.
     pub speed: f64,
-    /// Requests in work at once.
+    /// Requests in service at once.
     pub slots: usize,
-    /// Requests that wait for a slot.
+    /// Requests that may queue for a slot.
     pub queue_capacity: usize,
-    /// Efficiency lost with each request held for a core ...
+    /// Efficiency lost for each request held per core ...
     pub thrash: f64,
     /// ... beyond this many.
     pub thrash_at: f64,
-    /// Share of capacity when fresh.
+    /// Share of the capacity that a newly started process has.
     pub cold_from: f64,
     /// Time to warm up, in seconds.
     pub cold_for: f64,
-    /// Share of errors.
+    /// Share of requests answered with an error.
     pub error_rate: f64,
-    /// A withdrawn request stops also when running.
+    /// A cancelled request is stopped even when it is already running.
     pub stops_running: bool,
-    /// Connections held at most.
+    /// The most connections that the endpoint holds.
     pub connections: usize,
-    /// Share of capacity that a full table takes.
+    /// Share of the capacity lost when the connection table is full.
     pub full_tax: f64,
-    /// What crowding does.
+    /// The slowdown under crowding, if the tier has one.
     pub choke: Option<CrowdingSpec>,
 }
 
-/// The crowding slowdown, drawn once.
+/// The slowdown of a crowded endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct CrowdingSpec {
-    /// Requests waiting for each core.
+    /// Crowding: more than this many requests wait for each core ...
     pub queue_per_core: f64,
-    /// For so long.
+    /// ... for this long.
     pub begins_after: Nanos,
-    /// Times slower.
+    /// Factor by which the endpoint becomes slower.
     pub slowdown: f64,
-    /// Mostly idle for so long ends it, ...
+    /// The slowdown ends after the endpoint has been mostly idle for this long, ...
     pub idle_time: Nanos,
-    /// ... below this utilisation, ...
+    /// ... that is, below this utilization, ...
     pub idle_utilization: f64,
-    /// ... or this time does.
+    /// ... or after this time in any case.
     pub max_duration: Nanos,
 }
 
 impl CrowdingSpec {
-    /// Draws the figures of a server.
+    /// Draws the values of one endpoint.
     pub fn draw(c: &Choke, draw: &mut crate::draw::Draw) -> CrowdingSpec {
-        // One share for all of them: mild or severe in every respect, so that ranges turned round in pairs
-        // (a low bar with a short time) stay together.
+        // One draw for all values, so that an endpoint is mild or severe in every respect, and
+        // values that belong together (a low threshold with a short time) stay together.
         let share = draw.share();
         CrowdingSpec {
             queue_per_core: c.waiting.at(share),
--- a/crates/lab/src/world/troubles.rs
+++ b/crates/lab/src/world/troubles.rs
@@ -1,4 +1,4 @@
-//! Troubles: when they begin and end, whom they strike, what they do.
+//! Troubles (injected faults): when they begin and end, what they affect, what they do.
 
 use super::endpoint::{Life, Nanos};
 use super::*;
@@ -17,7 +17,7 @@
         }
     }
 
-    /// The servers that a trouble strikes: a share of those that run, one at least.
+    /// The endpoints that a trouble affects: a share of those that are up, at least one.
     fn choose_affected(&self, t: &Trouble, draw: &mut Draw) -> Vec<u32> {
         let up = |s: &u32| {
             self.endpoints[*s as usize].spec.tier == t.tier && self.endpoints[*s as usize].life == Life::Up
@@ -29,7 +29,7 @@
     pub(super) fn trouble(&mut self, number: u32, begins: bool) {
         let scenario = self.scenario;
         let Some(t) = scenario.troubles.get(number as usize) else { return };
-        // The same draws at its end as at its beginning.
+        // The end repeats the draws of the beginning.
         let mut draw = Draw::new(self.seed, Purpose::Troubles, u64::from(number));
         let (_, length) = (draw.length(t.at), draw.length(t.length));
         let size = draw.span(t.size);
@@ -169,7 +169,7 @@
         }
     }
 
-    /// A process starts on a machine that had lost its own.
+    /// Starts a process on a machine whose process had ended.
     fn start_endpoint(&mut self, endpoint: u32) {
         self.endpoints[endpoint as usize].start_process(self.now);
         self.schedule_list_change(endpoint, EndpointState::Ready, self.scenario.discovery.add);
@@ -206,7 +206,7 @@
         (0..self.endpoints.len() as u32).filter(|&s| self.endpoints[s as usize].spec.tier == tier).collect()
     }
 
-    /// Changes what some servers can do.
+    /// Changes the performance of some endpoints and reschedules their completions.
     fn change_endpoints(&mut self, endpoints: &[u32], change: impl Fn(&mut EmulatedEndpoint)) {
         for &endpoint in endpoints {
             let s = &mut self.endpoints[endpoint as usize];
@@ -217,7 +217,7 @@
     }
 }
 
-/// Chooses a share of some, one at least, in the order of the draw (Fisher and Yates).
+/// Chooses a share of the elements, at least one, in the order of the draws (Fisher-Yates shuffle).
 fn choose(mut from: Vec<u32>, share: f64, draw: &mut Draw) -> Vec<u32> {
     let count =
         ((share * from.len() as f64).round() as usize).clamp(usize::from(!from.is_empty()), from.len());
--- a/crates/lab/src/world/work.rs
+++ b/crates/lab/src/world/work.rs
@@ -1,4 +1,4 @@
-//! Attempts on their way to servers and back, and the work in between.
+//! Attempts on their way to endpoints, and their processing there.
 
 use super::clients::earlier_attempt;
 use super::endpoint::{Admission, Life, Nanos};
@@ -6,7 +6,7 @@
 use cottonpoint_decide::EndpointState;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// An error is answered this fast, without work.
+/// Time after which an injected error is answered, without work.
 const ERROR_RESPONSE_TIME_NS: Nanos = 1_000_000;
 
 fn child_key(key: u64, ordinal: u64) -> u64 {
@@ -93,7 +93,7 @@
         if let Some(&notified_at) = sidecar_state.notified_unready.get(&endpoint) {
             return self.rules.check_unready_send(self.now, notified_at, endpoint);
         }
-        // Who neither watches nor asks counts as told after a while all the same.
+        // A sidecar that neither watches nor polls counts as notified after some time all the same.
         if sidecar_state.subscribed || !self.scenario.discovery.asked {
             return;
         }
@@ -126,7 +126,7 @@
         let calls = calls.floor() + f64::from(u8::from(draw.share() < calls.fract()));
         let handshake =
             if new_connection { tier_settings.connections.handshake_work.seconds() } else { 0.0 };
-        // Half of a server's own work comes before its calls and half after them.
+        // Half of an endpoint's own work is done before its calls and half after them.
         let (before, after) = if calls > 0.0 { (own_work / 2.0, own_work / 2.0) } else { (own_work, 0.0) };
         Job {
             request,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Whether an idle connection is to be had; it is taken from the pool.
+    /// Takes an idle connection from the pool; returns whether there was one.
     fn take_idle_connection(&mut self, sidecar: u32, endpoint: u32) -> bool {
         let idle = {
             let tier = self.endpoints[endpoint as usize].spec.tier;
@@ -175,7 +175,7 @@
         }
     }
 
-    /// An attempt is at its server.
+    /// An attempt arrives at its endpoint.
     pub(super) fn attempt_at_endpoint(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(key) else { return };
         let (endpoint, sidecar, request, attempt) = (job.endpoint, job.sidecar, job.request, job.attempt);
@@ -196,7 +196,7 @@
             return self.schedule(now + after, SimEvent::AttemptEnd { request, attempt, outcome });
         }
         if self.record_cold_load(endpoint, sidecar, own_work) {
-            // It fell over under this very request.
+            // The endpoint failed under this request.
             return;
         }
         let s = &mut self.endpoints[endpoint as usize];
@@ -218,7 +218,7 @@
         self.reschedule_completion(endpoint);
     }
 
-    /// Gives a request that has a slot to the cores.
+    /// Starts the work of a request that has a slot.
     fn start_service(&mut self, key: JobKey) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(key) else { return };
@@ -227,7 +227,7 @@
         job.stage = Stage::Running(done, segment);
     }
 
-    /// Plans the next completion at a server, whose state has changed.
+    /// Reschedules the next completion at an endpoint whose state has changed.
     pub(super) fn reschedule_completion(&mut self, endpoint: u32) {
         self.check_crowding(endpoint);
         let jobs = &self.jobs;
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Looks whether a server is crowded, or is no more.
+    /// Checks whether the crowding of an endpoint begins or ends.
     pub(super) fn check_crowding(&mut self, endpoint: u32) {
         let now = self.now;
         let s = &mut self.endpoints[endpoint as usize];
@@ -261,7 +261,7 @@
         }
     }
 
-    /// A server's cores are done with something.
+    /// The next completion at an endpoint is due.
     pub(super) fn completion_due(&mut self, endpoint: u32, schedule_version: u32) {
         if self.endpoints[endpoint as usize].schedule_version != schedule_version {
             return;
@@ -308,7 +308,7 @@
         self.hand_over_slot(endpoint);
     }
 
-    /// A slot is free: the request that has waited for longest takes it.
+    /// Releases a slot; the request that has queued longest takes it.
     pub(super) fn hand_over_slot(&mut self, endpoint: u32) {
         let now = self.now;
         let s = &mut self.endpoints[endpoint as usize];
@@ -318,7 +318,7 @@
         }
     }
 
-    /// Sends a server's answer on its way.
+    /// Sends an endpoint's answer to the sidecar.
     pub(super) fn send_answer(&mut self, key: JobKey, outcome: Outcome, after: Nanos) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(key) else { return };
@@ -334,7 +334,7 @@
         self.schedule(now + back, SimEvent::AnswerAtSidecar(key, report));
     }
 
-    /// A server calls the next tier through the sidecar beside it.
+    /// An endpoint calls the next tier through its own sidecar.
     fn call_next_tier(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get_mut(key) else { return };
         let (endpoint, ordinal) = (job.endpoint, job.ordinal);
@@ -355,7 +355,7 @@
         self.deliver_request(sidecar, request);
     }
 
-    /// A call to the next tier has had its final answer.
+    /// A call to the next tier has got its final answer.
     pub(super) fn call_finished(&mut self, key: JobKey, answer: Answer) {
         let Some(job) = self.jobs.get_mut(key) else { return };
         if !matches!(job.stage, Stage::CallingNextTier(_)) {
@@ -377,7 +377,7 @@
     }
 }
 
-/// Whether a key is of a request that runs.
+/// Whether the request of a key runs on the cores.
 fn running(jobs: &SlotMap<JobKey, Job>, key: JobKey) -> bool {
     matches!(jobs.get(key), Some(Job { stage: Stage::Running(..), .. }))
 }
