--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The project's laboratory: an emulator of fleets in virtual time that drives the very decision module, and
-//! what is needed to experiment with it. See `docs/lab.md`.
+//! The laboratory: an emulator of fleets in virtual time that drives the same decision module as
+//! the product, and the tools for experiments with it. See `docs/lab.md`.
 
 pub mod draw;
 pub mod experiment;
--- a/crates/lab/src/policies/mod.rs
+++ b/crates/lab/src/policies/mod.rs
@@ -101,14 +101,16 @@
         }
         let Some(&(_, choice)) = CHOICES.iter().find(|c| c.0 == name) else {
             let known: Vec<&str> = CHOICES.iter().map(|c| c.0).collect();
-            return Err(format!("no policy is called {name}; there are ours, {}", known.join(", ")));
+            return Err(format!("unknown policy {name}; known policies: ours, {}", known.join(", ")));
         };
         let (mut limit, mut budget) = (Limiting::None, false);
         for part in parts {
             match (part, LIMITS.iter().find(|l| l.0 == part)) {
                 ("budget", _) => budget = true,
                 (_, Some(l)) => limit = l.1,
-                _ => return Err(format!("after + may stand aimd, gradient or budget, not {part}")),
+                _ => {
+                    return Err(format!("unknown option +{part}; known: aimd, gradient, budget"));
+                }
             }
         }
         Ok(Policy::Rival(choice, limit, budget))
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports: one self-contained HTML page a day, with tables and SVG charts.
+//! Reports: one self-contained HTML page per run, with tables and SVG charts.
 
 use crate::scenario::Scenario;
 use crate::score::{Figures, Second};
@@ -22,7 +22,7 @@
     table
 }
 
-/// The figures of a day as rows of a name and a value.
+/// The figures of a run as rows of a name and a value.
 pub fn figure_rows(f: &Figures) -> Vec<[String; 2]> {
     let row = |name: &str, value: String| [name.to_owned(), value];
     vec![
@@ -46,10 +46,10 @@
     ]
 }
 
-/// A line of a chart: its name and its points.
+/// A series of a chart: its name and its points.
 pub type Line = (String, Vec<(f64, f64)>);
 
-/// Draws lines over a common x axis as an SVG image.
+/// Draws series over a common x axis as an SVG image.
 pub fn lines(title: &str, x: &str, series: &[Line]) -> String {
     let points = || series.iter().flat_map(|s| &s.1);
     let (mut x_to, mut y_to) = (1e-9, 1e-9);
@@ -118,7 +118,7 @@
     out + "</table>"
 }
 
-/// The report of a day as one HTML page.
+/// The report of a run as one HTML page.
 pub fn page(scenario: &Scenario, seed: u64, policy: &str, played: &Played) -> String {
     let book = &played.book;
     let seconds = &book.seconds;
--- a/crates/lab/src/scenario/classes.rs
+++ b/crates/lab/src/scenario/classes.rs
@@ -1,12 +1,12 @@
 //! Classes of requests, and tenants.
 
-use super::figures::{Length, Lengths, Span, ms};
+use super::figures::{DurationNs, DurationRange, Span, ms};
 use serde::Deserialize;
 
-/// The law that a class's work follows around its mean.
+/// The distribution of a class's work around its mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Law {
+pub enum WorkDistribution {
     /// Log-normal with the stated coefficient of variation.
     #[default]
     Lognormal,
@@ -18,16 +18,16 @@
     Fixed,
 }
 
-/// What running a request twice would do.
+/// The effect of processing a request twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
     /// Repeats are harmless.
     #[default]
     Safe,
-    /// All servers drop a repeat for the class's window.
+    /// All endpoints drop a repeat within the class's window.
     Keyed,
-    /// It must never run twice.
+    /// The request must never be processed twice.
     Unsafe,
 }
 
@@ -35,43 +35,43 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// Its share of the requests, against those of the other classes.
+    /// Its share of the requests, as a weight relative to the other classes.
     pub share: Span,
     /// Mean work over all tiers, as time on a core of speed 1.
-    pub work: Lengths,
-    /// The law of the work.
+    pub work: DurationRange,
+    /// The distribution of the work.
     #[serde(default)]
-    pub law: Law,
-    /// Its coefficient of variation.
+    pub law: WorkDistribution,
+    /// Coefficient of variation of the work.
     #[serde(default = "half")]
     pub cv: Span,
-    /// How much the attempts of one request vary around its work (coefficient of variation).
+    /// Coefficient of variation of the work of a request's attempts around the request's work.
     #[serde(default)]
     pub noise: Span,
-    /// An answer within this time has the full worth.
-    pub aim: Length,
-    /// The client's whole patience, over all its tries.
-    pub give_up: Length,
+    /// The latency target: an answer within this time has the full worth.
+    pub aim: DurationNs,
+    /// The client timeout, over all tries of a client.
+    pub give_up: DurationNs,
     /// Worth of an answer in time.
     pub worth: f64,
     /// Share of the worth that a later answer still has.
     #[serde(default)]
     pub late_worth: f64,
-    /// Whether it may run again.
+    /// Whether a request may be processed again.
     #[serde(default)]
     pub effect: Effect,
-    /// For keyed classes: how long servers know a key.
+    /// For keyed classes: how long endpoints remember a key.
     #[serde(default = "ten_seconds")]
-    pub window: Length,
+    pub window: DurationNs,
 }
 
 fn half() -> Span {
     Span::just(0.5)
 }
 
-fn ten_seconds() -> Length {
+fn ten_seconds() -> DurationNs {
     ms(10_000)
 }
 
@@ -79,14 +79,14 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// The name of the tenant.
     pub name: String,
-    /// Its share of the service.
+    /// Its share of the service's capacity.
     pub share: f64,
-    /// What it asks for, as a multiple of its share.
+    /// Its demand, as a multiple of its share.
     #[serde(default = "whole")]
     pub usage: Span,
-    /// Worth of what it asks beyond its quota, as a fraction.
+    /// Worth of its requests beyond its quota, as a fraction.
     #[serde(default = "a_fifth")]
     pub over_share_worth: f64,
 }
--- a/crates/lab/src/scenario/day.rs
+++ b/crates/lab/src/scenario/day.rs
@@ -1,47 +1,47 @@
-//! What holds for the whole day: network, discovery, rules, clients, load, prices.
+//! Settings of the whole run: network, discovery, rules, clients, load, penalties of the score.
 
-use super::figures::{Length, Lengths, Span, ms};
+use super::figures::{DurationNs, DurationRange, Span, ms};
 use serde::Deserialize;
 
-/// Delays between machines.
+/// Network delays.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// One way between a sidecar and a server.
-    pub one_way: Length,
+    /// One way between a sidecar and an endpoint.
+    pub one_way: DurationNs,
     /// Each delay varies by up to this share of itself, up or down.
     pub jitter: f64,
     /// One way between a client and a sidecar.
-    pub client: Length,
+    pub client: DurationNs,
 }
 
 impl Default for Network {
     fn default() -> Network {
-        Network { one_way: Length(200_000), jitter: 0.2, client: Length(800_000) }
+        Network { one_way: DurationNs(200_000), jitter: 0.2, client: DurationNs(800_000) }
     }
 }
 
-/// How sidecars learn of servers.
+/// How sidecars learn of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// Changes come only to those who asked.
+    /// Changes are sent only to sidecars that poll for them.
     pub asked: bool,
-    /// From a planned change to its entry in the list.
-    pub notice: Lengths,
-    /// From the start of a server to its entry in the list.
-    pub add: Lengths,
-    /// From a machine's silent end to its entry in the list.
-    pub silent: Lengths,
-    /// From an entry in the list to the telling of one sidecar.
-    pub spread: Lengths,
-    /// A call that is not answered for so long has failed.
-    pub timeout: Length,
+    /// From a planned change to its entry in the endpoint list.
+    pub notice: DurationRange,
+    /// From the start of an endpoint to its entry in the list.
+    pub add: DurationRange,
+    /// From the silent end of a machine to its entry in the list.
+    pub silent: DurationRange,
+    /// From an entry in the list to its delivery to one sidecar.
+    pub spread: DurationRange,
+    /// A poll without an answer fails after this time.
+    pub timeout: DurationNs,
 }
 
 impl Default for Discovery {
     fn default() -> Discovery {
-        let span = |from, to| Lengths { from: ms(from), to: ms(to) };
+        let span = |from, to| DurationRange { from: ms(from), to: ms(to) };
         Discovery {
             asked: true,
             notice: span(2100, 4900),
@@ -53,26 +53,26 @@
     }
 }
 
-/// What sidecars are allowed, and the figures of the rules that they are held to.
+/// What sidecars are allowed, and the parameters of the rules that they must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Attempts for one request at most.
+    /// The most attempts for one request.
     pub max_attempts: u32,
-    /// Two attempts of one request may be out at once.
+    /// Two attempts of one request may be outstanding at once.
     pub may_duplicate: bool,
-    /// Attempts may be withdrawn.
+    /// Attempts may be cancelled.
     pub may_cancel: bool,
-    /// A final answer may come so long after the client's due.
-    pub answer_slack: Length,
-    /// New work to a server that drains or is gone ends so long after the word of it.
-    pub drain_grace: Length,
-    /// A cold server sent more than this multiple of what it can do ...
+    /// A final answer may come this long after the client's deadline.
+    pub answer_slack: DurationNs,
+    /// New work to a draining or removed endpoint must end this long after the notification.
+    pub drain_grace: DurationNs,
+    /// A cold endpoint that is sent more than this multiple of its capacity ...
     pub fall_multiple: f64,
-    /// ... over this time falls over.
-    pub fall_after: Length,
-    /// A sidecar that has not asked for so long counts as told of what was listed then.
-    pub ask_within: Length,
+    /// ... over this time fails.
+    pub fall_after: DurationNs,
+    /// A sidecar that has not polled for this long counts as notified of what was listed then.
+    pub ask_within: DurationNs,
 }
 
 impl Default for Rules {
@@ -94,20 +94,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// Tries after the first one, at most.
+    /// The most retries of a client.
     pub retries: u32,
-    /// The first try is given up after this share of the class's patience, drawn once for the day; a later one
+    /// The timeout of a first try, as a share of the client timeout, drawn once per run; a retry
     /// has what is left.
     pub try_share: Span,
-    /// Clients' patience for their first try varies by up to this share of itself, up or down.
+    /// The timeout of a client's first try varies by up to this share of itself, up or down.
     pub try_varies: f64,
-    /// Pause before a further try.
-    pub backoff: Lengths,
-    /// Share of clients that stay away as long as a refusal says.
+    /// Backoff before a retry.
+    pub backoff: DurationRange,
+    /// Share of clients that honour the retry-after of a refusal.
     pub honour: f64,
-    /// The longest stay-away that is heeded.
-    pub max_retry_after: Length,
-    /// Share of clients that leave early, at some moment within their try.
+    /// The longest retry-after that is honoured.
+    pub max_retry_after: DurationNs,
+    /// Share of clients that leave early, at some time within their first try.
     pub impatient: f64,
 }
 
@@ -117,7 +117,7 @@
             retries: 3,
             try_share: Span { from: 0.5, to: 0.6 },
             try_varies: 0.0,
-            backoff: Lengths { from: ms(65), to: ms(520) },
+            backoff: DurationRange { from: ms(65), to: ms(520) },
             honour: 0.2,
             max_retry_after: ms(2000),
             impatient: 0.04,
@@ -125,46 +125,46 @@
     }
 }
 
-/// How much is asked. Exactly one of `rate` and `of_capacity` is given.
+/// The offered load. Exactly one of `rate` and `of_capacity` is given.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// First tries a second.
+    /// First tries per second.
     #[serde(default)]
     pub rate: Option<f64>,
-    /// First tries as a share of what the tier that runs out first can do.
+    /// First tries as a share of the rate that the scarcest tier can sustain.
     #[serde(default)]
     pub of_capacity: Option<Span>,
-    /// The tenants' quotas together, as a share of the same capacity.
+    /// The sum of the tenants' quotas, as a share of the same rate.
     #[serde(default = "most_of_it")]
     pub quota: Span,
-    /// The rate swings by this share of itself ...
+    /// The rate varies in a sine wave by this share of itself ...
     #[serde(default)]
     pub swing: f64,
-    /// ... in waves of this length.
+    /// ... with this period.
     #[serde(default = "twenty_seconds")]
-    pub wave: Length,
+    pub wave: DurationNs,
 }
 
 fn most_of_it() -> Span {
     Span { from: 0.76, to: 0.94 }
 }
 
-fn twenty_seconds() -> Length {
+fn twenty_seconds() -> DurationNs {
     ms(20_000)
 }
 
-/// What is taken off the score; see `score` for how each is counted.
+/// Penalties subtracted from the score; the module `score` defines how each is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Prices {
-    /// For work done for nothing, as a share of the work asked for.
+    /// For wasted work, as a share of the work offered.
     pub waste: f64,
-    /// For worth that failed only after its aim had gone by.
+    /// For worth that failed only after the latency target had passed.
     pub late_fail: f64,
     /// For each new connection, per first try.
     pub connection: f64,
-    /// For servers slowed by crowding, by the share of server time spent so.
+    /// For endpoints slowed by crowding, by the share of endpoint time spent so.
     pub crowded: f64,
 }
 
--- a/crates/lab/src/scenario/figures.rs
+++ b/crates/lab/src/scenario/figures.rs
@@ -1,25 +1,25 @@
-//! Figures of a scenario: numbers and lengths of time, each alone or as a range from which a seed draws.
+//! Values of a scenario: numbers and durations, each fixed or a range from which a seed draws.
 
 use serde::de::{self, Deserialize, Deserializer, SeqAccess, Visitor};
 use std::fmt;
 use std::time::Duration;
 
-/// A figure, or the range from which each seed draws one.
+/// A number, or the range from which each seed draws one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Span {
-    /// The least.
+    /// The lower bound.
     pub from: f64,
-    /// The most.
+    /// The upper bound.
     pub to: f64,
 }
 
 impl Span {
-    /// A range of one figure.
+    /// A range of one value.
     pub const fn just(value: f64) -> Span {
         Span { from: value, to: value }
     }
 
-    /// The figure at a share of the way, 0 to 1.
+    /// The value at a fraction of the range, 0 to 1.
     pub fn at(self, share: f64) -> f64 {
         self.from + (self.to - self.from) * share
     }
@@ -67,84 +67,85 @@
     }
 }
 
-/// A length of time, in nanoseconds.
+/// A duration, in nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Length(pub u64);
+pub struct DurationNs(pub u64);
 
-impl Length {
-    /// In seconds.
+impl DurationNs {
+    /// The duration in seconds.
     pub fn seconds(self) -> f64 {
         self.0 as f64 / 1e9
     }
 
-    /// As the standard library's type.
+    /// The duration as the standard library's type.
     pub fn duration(self) -> Duration {
         Duration::from_nanos(self.0)
     }
 }
 
-struct LengthVisitor;
+struct DurationVisitor;
 
-impl Visitor<'_> for LengthVisitor {
-    type Value = Length;
+impl Visitor<'_> for DurationVisitor {
+    type Value = DurationNs;
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a time with its unit, such as \"750ms\", \"2s\" or \"200us\"")
     }
-    fn visit_str<E: de::Error>(self, text: &str) -> Result<Length, E> {
-        let wrong = |why: &dyn fmt::Display| E::custom(format!("{text:?} is no time with its unit: {why}"));
+    fn visit_str<E: de::Error>(self, text: &str) -> Result<DurationNs, E> {
+        let wrong =
+            |why: &dyn fmt::Display| E::custom(format!("{text:?} is not a time with a unit: {why}"));
         let length = humantime::parse_duration(text).map_err(|e| wrong(&e))?;
-        u64::try_from(length.as_nanos()).map(Length).map_err(|e| wrong(&e))
+        u64::try_from(length.as_nanos()).map(DurationNs).map_err(|e| wrong(&e))
     }
 }
 
-impl<'de> Deserialize<'de> for Length {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Length, D::Error> {
-        d.deserialize_any(LengthVisitor)
+impl<'de> Deserialize<'de> for DurationNs {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<DurationNs, D::Error> {
+        d.deserialize_any(DurationVisitor)
     }
 }
 
-/// A length of time, or the range from which each draw is made.
+/// A duration, or the range from which each draw is made.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Lengths {
-    /// The shortest.
-    pub from: Length,
-    /// The longest.
-    pub to: Length,
+pub struct DurationRange {
+    /// The lower bound.
+    pub from: DurationNs,
+    /// The upper bound.
+    pub to: DurationNs,
 }
 
-impl Lengths {
-    /// A range of one length.
-    pub const fn just(length: Length) -> Lengths {
-        Lengths { from: length, to: length }
+impl DurationRange {
+    /// A range of one duration.
+    pub const fn just(length: DurationNs) -> DurationRange {
+        DurationRange { from: length, to: length }
     }
 
-    /// The length at a share of the way, 0 to 1, in nanoseconds.
+    /// The duration at a fraction of the range, 0 to 1, in nanoseconds.
     pub fn at(self, share: f64) -> u64 {
         Span { from: self.from.0 as f64, to: self.to.0 as f64 }.at(share) as u64
     }
 }
 
-struct LengthsVisitor;
+struct DurationRangeVisitor;
 
-impl<'de> Visitor<'de> for LengthsVisitor {
-    type Value = Lengths;
+impl<'de> Visitor<'de> for DurationRangeVisitor {
+    type Value = DurationRange;
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a time with its unit, such as \"750ms\", or a range of two as [\"1s\", \"2s\"]")
     }
-    fn visit_str<E: de::Error>(self, text: &str) -> Result<Lengths, E> {
-        LengthVisitor.visit_str(text).map(Lengths::just)
+    fn visit_str<E: de::Error>(self, text: &str) -> Result<DurationRange, E> {
+        DurationVisitor.visit_str(text).map(DurationRange::just)
     }
-    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Lengths, A::Error> {
-        pair(&mut seq, &self).map(|(from, to)| Lengths { from, to })
+    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<DurationRange, A::Error> {
+        pair(&mut seq, &self).map(|(from, to)| DurationRange { from, to })
     }
 }
 
-impl<'de> Deserialize<'de> for Lengths {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Lengths, D::Error> {
-        d.deserialize_any(LengthsVisitor)
+impl<'de> Deserialize<'de> for DurationRange {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<DurationRange, D::Error> {
+        d.deserialize_any(DurationRangeVisitor)
     }
 }
 
-pub(super) const fn ms(n: u64) -> Length {
-    Length(n * 1_000_000)
+pub(super) const fn ms(n: u64) -> DurationNs {
+    DurationNs(n * 1_000_000)
 }
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -1,7 +1,7 @@
-//! Scenarios: what a day looks like, read from a TOML file and checked before anything runs.
-//!
-//! Times are written with their unit (`"750ms"`, `"2s"`, `"200us"`), counts and shares as plain numbers. Where
-//! a figure may be a range (`[1.5, 2.1]`), each seed draws its own from it, evenly.
+//! Scenarios: the description of a run, read from a TOML file and checked before anything runs.
+//! Times are written with their unit (`"750ms"`, `"2s"`, `"200us"`), counts and shares as plain
+//! numbers. Where a value may be a range (`[1.5, 2.1]`), each seed draws its own from it,
+//! uniformly.
 
 mod check;
 mod classes;
@@ -11,62 +11,62 @@
 mod troubles;
 
 use check::Checker;
-pub use classes::{Class, Effect, Law, Tenant};
+pub use classes::{Class, Effect, Tenant, WorkDistribution};
 use cottonpoint_file::{Fault, TomlText};
 pub use day::{Clients, Discovery, Load, Network, Prices, Rules};
 use figures::ms;
-pub use figures::{Length, Lengths, Span};
+pub use figures::{DurationNs, DurationRange, Span};
 use serde::Deserialize;
 use std::path::Path;
-pub use tiers::{Choke, Connections, Kind, Report, Tier};
+pub use tiers::{Connections, Crowding, Kind, Report, Tier};
 pub use troubles::{Trouble, What};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A whole scenario.
+/// A scenario.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name, by which results are kept.
+    /// The name under which results are stored.
     pub name: String,
-    /// What it is for, in a sentence.
+    /// The purpose, in a sentence.
     pub about: String,
-    /// How long clients keep coming.
-    pub length: Length,
-    /// Requests before this time do not count.
+    /// How long clients arrive.
+    pub length: DurationNs,
+    /// Clients that arrive before this time do not count.
     #[serde(default = "one_second")]
-    pub warm_up: Length,
-    /// Delays between machines.
+    pub warm_up: DurationNs,
+    /// Network delays.
     #[serde(default)]
     pub network: Network,
-    /// How sidecars learn of servers.
+    /// How sidecars learn of endpoints.
     #[serde(default)]
     pub discovery: Discovery,
-    /// What is allowed, and the figures of the rules.
+    /// What is allowed, and the parameters of the rules.
     #[serde(default)]
     pub rules: Rules,
     /// How clients behave.
     #[serde(default)]
     pub clients: Clients,
-    /// How much they ask.
+    /// The offered load.
     pub load: Load,
-    /// What is taken off the score.
+    /// Penalties subtracted from the score.
     #[serde(default)]
     pub prices: Prices,
     /// Classes of requests.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// Tenants; may be none.
+    /// Tenants; there may be none.
     #[serde(rename = "tenant", default)]
     pub tenants: Vec<Tenant>,
-    /// Tiers of servers, the first one called by clients.
+    /// Tiers of endpoints; clients call the first one.
     #[serde(rename = "tier")]
     pub tiers: Vec<Tier>,
-    /// What goes wrong, and when.
+    /// Injected faults and their times.
     #[serde(rename = "trouble", default)]
     pub troubles: Vec<Trouble>,
 }
 
-fn one_second() -> Length {
+fn one_second() -> DurationNs {
     ms(1000)
 }
 
@@ -79,16 +79,16 @@
     /// Reads a scenario from text.
     pub fn read(text: &TomlText) -> Result<Scenario, Fault> {
         let scenario: Scenario = text.read()?;
-        Checker(text).scenario(&scenario)?;
+        Checker(text).check_scenario(&scenario)?;
         Ok(scenario)
     }
 
-    /// Reads a scenario from text that stands in no file; `file` names it in faults.
+    /// Reads a scenario from text that is not in a file; `file` names it in faults.
     pub fn parse(file: &str, text: &str) -> Result<Scenario, Fault> {
         Scenario::read(&TomlText::new(file, text))
     }
 
-    /// A digest of a scenario's text, by which results are kept apart.
+    /// A digest of a scenario's text, which distinguishes results of different versions.
     pub fn digest(text: &TomlText) -> u64 {
         xxh3_64(text.as_str().as_bytes())
     }
--- a/crates/lab/src/scenario/tiers.rs
+++ b/crates/lab/src/scenario/tiers.rs
@@ -1,41 +1,43 @@
-//! Tiers of servers: kinds of machine, load reports, connections, crowding.
+//! Tiers of endpoints: machine kinds, load reports, connections, crowding.
 
 use super::classes::whole;
-use super::figures::{Length, Lengths, Span, ms};
+use super::figures::{DurationNs, DurationRange, Span, ms};
 use serde::Deserialize;
 
-/// A tier of servers.
+/// A tier of endpoints.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
-    /// Its name.
+    /// The name of the tier.
     pub name: String,
-    /// How many servers; a range draws a whole number.
+    /// Number of endpoints; a range draws a whole number.
     pub servers: Span,
-    /// Sidecars before the first tier. Later tiers have one beside each server of the tier above.
+    /// Number of sidecars in front of the first tier. Later tiers have one beside each endpoint of
+    /// the tier above.
     #[serde(default)]
     pub sidecars: Option<Span>,
     /// Share of a request's work that each call of this tier does.
     #[serde(default = "whole_share")]
     pub work: f64,
-    /// Calls that each request of this tier makes to the next, on average, one after another.
+    /// Mean number of calls that each request of this tier makes to the next, one after another.
     #[serde(default)]
     pub calls: Span,
-    /// A call to the next tier is told the time that its caller has left, else it has its class's patience.
+    /// A call to the next tier has the deadline of its request; otherwise it has its class's client
+    /// timeout.
     #[serde(default = "yes")]
     pub passes_deadline: bool,
-    /// Kinds of machine.
+    /// Machine kinds.
     #[serde(rename = "kind")]
     pub kinds: Vec<Kind>,
-    /// Load reports.
+    /// Load reports, if the tier's endpoints send them.
     #[serde(default)]
     pub report: Option<Report>,
     /// Connections.
     #[serde(default)]
     pub connections: Connections,
-    /// What crowding does.
+    /// The slowdown of crowded endpoints, if there is one.
     #[serde(default)]
-    pub choke: Option<Choke>,
+    pub choke: Option<Crowding>,
 }
 
 fn whole_share() -> f64 {
@@ -46,46 +48,46 @@
     true
 }
 
-/// A kind of machine.
+/// A machine kind.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// Its name.
+    /// The name of the kind.
     pub name: String,
-    /// Its share of the tier, against those of the other kinds.
+    /// Its share of the tier, as a weight relative to the other kinds.
     #[serde(default = "whole")]
     pub share: Span,
-    /// Cores.
+    /// Number of cores.
     #[serde(default = "one")]
     pub cores: u32,
-    /// Work done by a core in a unit of time.
+    /// Work that a core does per unit of time.
     #[serde(default = "whole")]
     pub speed: Span,
-    /// How much machines of the kind differ in speed (coefficient of variation).
+    /// Coefficient of variation of the speed of the kind's machines.
     #[serde(default)]
     pub speed_cv: Span,
-    /// Requests in work at once, for each core.
+    /// Requests in service at once, per core.
     #[serde(default = "slots")]
     pub slots: Span,
-    /// Requests that wait for a slot, for each core; more are turned away.
+    /// Requests that may queue for a slot, per core; more are rejected.
     #[serde(default = "queue")]
     pub queue: Span,
-    /// Efficiency lost with each request held for a core ...
+    /// Efficiency lost for each request held per core ...
     #[serde(default)]
     pub thrash: Span,
     /// ... beyond this many.
     #[serde(default = "many")]
     pub thrash_at: Span,
-    /// Share of its capacity that a fresh server has.
+    /// Share of its capacity that a newly started endpoint has.
     #[serde(default = "whole")]
     pub cold_from: Span,
-    /// How long it takes to warm up.
+    /// Time to warm up.
     #[serde(default)]
-    pub cold_for: Lengths,
-    /// Share of requests that it answers with an error.
+    pub cold_for: DurationRange,
+    /// Share of requests answered with an error.
     #[serde(default)]
     pub error_rate: Span,
-    /// A withdrawn request stops also when it is running.
+    /// A cancelled request is stopped even when it is already running.
     #[serde(default)]
     pub stops_running: bool,
 }
@@ -106,41 +108,41 @@
     Span::just(1e9)
 }
 
-/// Load reports, which come with answers.
+/// Load reports, which are sent with answers.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Report {
-    /// How often they are made anew.
-    pub period: Lengths,
-    /// How old a report is at least before it is handed out.
-    pub delay: Lengths,
-    /// How noisy its values are (coefficient of variation).
+    /// Interval between reports.
+    pub period: DurationRange,
+    /// Least age of a report when it is handed out.
+    pub delay: DurationRange,
+    /// Coefficient of variation of the noise in its values.
     #[serde(default)]
     pub noise: Span,
 }
 
-/// Connections to the servers of a tier.
+/// Connections to the endpoints of a tier.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Connections {
-    /// Work that a new connection costs the server.
-    pub handshake_work: Length,
-    /// Round trips before the first request can go out on a new one.
+    /// Work that a new connection costs the endpoint.
+    pub handshake_work: DurationNs,
+    /// Round trips before the first request can be sent on a new connection.
     pub handshake_trips: f64,
-    /// An idle one is closed after this time.
-    pub idle: Length,
-    /// One that does not come up in this time is given up.
-    pub timeout: Length,
-    /// Connections that a server holds for each core.
+    /// An idle connection is closed after this time.
+    pub idle: DurationNs,
+    /// An attempt to connect fails after this time.
+    pub timeout: DurationNs,
+    /// The most connections that an endpoint holds, per core.
     pub cap: f64,
-    /// Share of its capacity that a full table takes.
+    /// Share of the capacity lost when the connection table is full.
     pub full_tax: f64,
 }
 
 impl Default for Connections {
     fn default() -> Connections {
         Connections {
-            handshake_work: Length(3_000_000),
+            handshake_work: DurationNs(3_000_000),
             handshake_trips: 2.0,
             idle: ms(30_000),
             timeout: ms(50),
@@ -150,21 +152,21 @@
     }
 }
 
-/// What crowding does: a server that has many requests waiting for its cores for long turns slower, and stays
-/// so until it has been mostly idle for a while.
+/// The effect of crowding: an endpoint with many requests waiting for its cores for long becomes
+/// slower, and stays so until it has been mostly idle for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Choke {
-    /// Requests waiting for each core.
+pub struct Crowding {
+    /// Crowding begins when more than this many requests wait for each core ...
     pub waiting: Span,
-    /// For how long.
-    pub over: Lengths,
-    /// How many times slower it turns.
+    /// ... for this long.
+    pub over: DurationRange,
+    /// Factor by which the endpoint becomes slower.
     pub slower: Span,
-    /// It recovers after being mostly idle for so long ...
-    pub rest: Lengths,
-    /// ... which is below this utilisation, ...
+    /// The endpoint recovers after it has been mostly idle for this long ...
+    pub rest: DurationRange,
+    /// ... that is, below this utilization, ...
     pub below: Span,
-    /// ... or after this time.
-    pub most: Lengths,
+    /// ... or after this time in any case.
+    pub most: DurationRange,
 }
--- a/crates/lab/src/scenario/troubles.rs
+++ b/crates/lab/src/scenario/troubles.rs
@@ -1,62 +1,66 @@
-//! What goes wrong on a day, and when.
+//! Troubles: the faults injected in a run, and their times.
 
 use super::classes::whole;
-use super::figures::{Lengths, Span};
+use super::figures::{DurationRange, Span};
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong.
+/// The kind of an injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum What {
-    /// Some servers run `size` times slower.
+    /// Some endpoints run `size` times slower.
     Slow,
-    /// Some servers fail a share `size` of their requests at once.
+    /// Some endpoints fail a share `size` of their requests at once.
     FastErrors,
-    /// `size` times the usual load.
+    /// The load is `size` times the usual one.
     Burst,
-    /// Some servers are replaced, a share `size` of the tier at a time, each drained for `drain` first.
+    /// Some endpoints are replaced, a share `size` of the tier at a time, each drained for `drain`
+    /// first.
     Deploy,
-    /// All servers of the tier run `size` times slower.
+    /// All endpoints of the tier run `size` times slower.
     SharedSlow,
-    /// Some machines vanish without a word: connections stay silent, new ones never come up.
+    /// Some machines vanish without a notice: connections stay silent, new ones are never
+    /// established.
     Vanish,
-    /// Some processes die: connections are reset and refused. They start anew, cold, at the end.
+    /// Some processes die: connections are reset and refused. They restart, cold, when the trouble
+    /// ends.
     Die,
-    /// Some sidecars and some servers cannot reach each other.
+    /// Some sidecars and some endpoints cannot reach each other.
     Partition,
-    /// Some servers take work and never finish it, while their reports look well.
+    /// Some endpoints accept work and never finish it, while their reports show low load.
     Gray,
     /// Discovery answers nobody.
     Outage,
-    /// Some sidecars of the first tier are killed; they start anew, knowing nothing, at the end.
+    /// Some sidecars of the first tier are killed; they restart without any state when the trouble
+    /// ends.
     SidecarDown,
-    /// Some servers drain, and come back without a restart.
+    /// Some endpoints drain, and become ready again without a restart.
     Drain,
 }
 
-/// One trouble on the timeline.
+/// One injected fault.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trouble {
-    /// Its kind.
+    /// The kind.
     pub what: What,
     /// When it begins.
-    pub at: Lengths,
+    pub at: DurationRange,
     /// How long it lasts.
     #[serde(rename = "for")]
-    pub length: Lengths,
-    /// The tier that it strikes, from 0.
+    pub length: DurationRange,
+    /// The affected tier, from 0.
     #[serde(default)]
     pub tier: usize,
-    /// Share of the tier that it strikes (at least one machine).
+    /// Affected share of the tier (at least one machine).
     #[serde(default = "a_tenth")]
     pub part: Span,
-    /// How bad it is; what that means depends on the kind.
+    /// Severity; its meaning depends on the kind.
     #[serde(default = "whole")]
     pub size: Span,
-    /// For a deploy: how long a server drains.
+    /// For a deploy: how long an endpoint drains.
     #[serde(default)]
-    pub drain: Lengths,
+    pub drain: DurationRange,
     /// For a partition: share of the sidecars that are cut off.
     #[serde(default = "whole")]
     pub sidecars: Span,
--- a/crates/lab/src/world/answers.rs
+++ b/crates/lab/src/world/answers.rs
@@ -73,7 +73,7 @@
         f.answered |= served;
         let closed = f.answered;
         let tier = self.sidecars[sidecar as usize].tier;
-        self.book.outcome(tier, outcome);
+        self.book.record_outcome(tier, outcome);
         self.trace_request(request, |_| format!("attempt {attempt} at server {index} ends: {outcome:?}"));
         if served {
             self.deliver(request, Answer::Served);
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -5,7 +5,7 @@
 use super::fleet::share_of;
 use super::*;
 use crate::scenario::{Effect, What};
-use crate::score::End;
+use crate::score::ClientOutcome;
 
 impl World<'_> {
     /// A client may arrive, and the next candidate arrival is scheduled. Candidates come at the
@@ -33,20 +33,20 @@
         let tenant =
             if s.tenants.is_empty() { 0 } else { share_of(&self.parameters.tenant_weights, draw.share()) };
         let law = s.classes[class].law;
-        let work = self.parameters.class_work[class] * draw.law(law, self.parameters.class_cv[class]);
+        let work = self.parameters.class_work[class] * draw.mean_one(law, self.parameters.class_cv[class]);
         let give_up = s.classes[class].give_up.0;
         let varies = 1.0 + s.clients.try_varies * (2.0 * draw.share() - 1.0);
         let timeout = (give_up as f64 * (self.parameters.try_share * varies).min(1.0)) as Nanos;
         let leaves_at =
             (draw.share() < s.clients.impatient).then(|| (timeout as f64 * draw.share()) as Nanos);
         let honours_retry_after = draw.share() < s.clients.honour;
-        let over_share = self.over_quota(tenant);
+        let over_quota = self.exceeds_quota(tenant);
         let client = Client {
             number,
             class: class as u16,
             tenant: tenant as u16,
-            over_share,
-            counts: self.now >= s.warm_up.0,
+            over_quota,
+            after_warm_up: self.now >= s.warm_up.0,
             first_sent: self.now,
             work,
             tries: 0,
@@ -58,7 +58,7 @@
             attempt_sent: false,
         };
         let offered: f64 = self.offered(work);
-        self.book.arrived(&client_terms(&client), offered);
+        self.book.record_arrival(&client_info(&client), offered);
         let client = self.clients.insert(client);
         self.trace_client(number, |w| {
             let class = &w.scenario.classes[class].name;
@@ -80,7 +80,7 @@
 
     /// Whether a tenant exceeds its quota with one more request (a token bucket that holds five
     /// seconds of quota).
-    fn over_quota(&mut self, tenant: usize) -> bool {
+    fn exceeds_quota(&mut self, tenant: usize) -> bool {
         let Some(t) = self.parameters.settings[0].tenants.get(tenant) else { return false };
         let (left, at) = &mut self.quotas[tenant];
         let passed = self.now.saturating_sub(*at) as f64 / 1e9;
@@ -256,7 +256,7 @@
         let Some(c) = self.clients.get(client).filter(|c| c.tries == try_no) else { return };
         let (number, request) = (c.number, c.request);
         self.trace_client(number, |_| "the client leaves early".into());
-        self.end_client(client, End::Left);
+        self.end_client(client, ClientOutcome::Left);
         if let Some(request) = request {
             self.client_gone(request);
         }
@@ -282,7 +282,10 @@
         if answer == Answer::Served {
             let took = self.now - c.first_sent;
             self.trace_client(number, |_| format!("served after {:.1} ms", took as f64 / 1e6));
-            return self.end_client(client, if took <= class.aim.0 { End::Served } else { End::Late });
+            return self.end_client(
+                client,
+                if took <= class.aim.0 { ClientOutcome::Served } else { ClientOutcome::Late },
+            );
         }
         let no_effect = matches!(answer, Answer::Refused(_) | Answer::Unreachable);
         let may_retry = match class.effect {
@@ -292,7 +295,7 @@
         };
         let s = self.scenario;
         let mut draw = Draw::new(self.seed, Purpose::Request, number ^ (u64::from(try_no) << 48));
-        let mut backoff = draw.length(s.clients.backoff);
+        let mut backoff = draw.duration_in(s.clients.backoff);
         if let Answer::Refused(Some(advice)) = answer
             && c.honours_retry_after
         {
@@ -308,25 +311,25 @@
         }
         self.trace_client(number, |_| format!("{answer:?}; it gives up"));
         let end = match answer {
-            Answer::Refused(_) => End::Refused,
-            _ => End::Failed,
+            Answer::Refused(_) => ClientOutcome::Refused,
+            _ => ClientOutcome::Failed,
         };
         self.end_client(client, end);
     }
 
-    fn end_client(&mut self, client: ClientKey, end: End) {
+    fn end_client(&mut self, client: ClientKey, end: ClientOutcome) {
         if let Some(c) = self.clients.remove(client) {
-            self.book.ended(&client_terms(&c), end, self.now);
+            self.book.record_end(&client_info(&c), end, self.now);
         }
     }
 }
 
-fn client_terms(c: &Client) -> crate::score::Terms {
-    crate::score::Terms {
+fn client_info(c: &Client) -> crate::score::ClientInfo {
+    crate::score::ClientInfo {
         class: usize::from(c.class),
         tenant: usize::from(c.tenant),
-        over_share: c.over_share,
-        counts: c.counts,
+        over_quota: c.over_quota,
+        after_warm_up: c.after_warm_up,
         sent: c.first_sent,
     }
 }
--- a/crates/lab/src/world/fleet.rs
+++ b/crates/lab/src/world/fleet.rs
@@ -8,10 +8,10 @@
 
 /// Draws the endpoints of all tiers and the parameters of the run.
 pub(super) fn draw(s: &Scenario, draw: &mut Draw) -> (Vec<EmulatedEndpoint>, DrawnParameters) {
-    let class_weights: Vec<f64> = s.classes.iter().map(|c| draw.span(c.share)).collect();
-    let class_work: Vec<f64> = s.classes.iter().map(|c| draw.length(c.work) as f64 / 1e9).collect();
-    let class_cv: Vec<f64> = s.classes.iter().map(|c| draw.span(c.cv)).collect();
-    let class_noise: Vec<f64> = s.classes.iter().map(|c| draw.span(c.noise)).collect();
+    let class_weights: Vec<f64> = s.classes.iter().map(|c| draw.value_in(c.share)).collect();
+    let class_work: Vec<f64> = s.classes.iter().map(|c| draw.duration_in(c.work) as f64 / 1e9).collect();
+    let class_cv: Vec<f64> = s.classes.iter().map(|c| draw.value_in(c.cv)).collect();
+    let class_noise: Vec<f64> = s.classes.iter().map(|c| draw.value_in(c.noise)).collect();
     let total: f64 = class_weights.iter().sum::<f64>().max(1e-9);
     let mean_work: f64 = class_weights.iter().zip(&class_work).map(|(w, x)| w / total * x).sum();
     let mut endpoints = Vec::new();
@@ -21,15 +21,15 @@
     // can sustain.
     let (mut requests, mut max_rate) = (1.0, f64::INFINITY);
     for (t, tier) in s.tiers.iter().enumerate() {
-        let count = draw.span(tier.servers).round().max(1.0) as usize;
-        let weights: Vec<f64> = tier.kinds.iter().map(|k| draw.span(k.share)).collect();
-        let speeds: Vec<f64> = tier.kinds.iter().map(|k| draw.span(k.speed)).collect();
+        let count = draw.value_in(tier.servers).round().max(1.0) as usize;
+        let weights: Vec<f64> = tier.kinds.iter().map(|k| draw.value_in(k.share)).collect();
+        let speeds: Vec<f64> = tier.kinds.iter().map(|k| draw.value_in(k.speed)).collect();
         let specs: Vec<EndpointSpec> =
             tier.kinds.iter().enumerate().map(|(k, kind)| draw_spec(t, k, kind, draw)).collect();
         let mut capacity = 0.0;
         for i in 0..count {
             let k = share_of(&weights, (i as f64 + 0.5) / count as f64);
-            let cv = draw.span(tier.kinds[k].speed_cv);
+            let cv = draw.value_in(tier.kinds[k].speed_cv);
             let mut spec = specs[k].clone();
             spec.speed = speeds[k] * draw.around_one(cv);
             spec.connections = (tier.connections.cap * spec.cores).max(1.0) as usize;
@@ -38,15 +38,19 @@
             capacity += spec.cores * spec.speed;
             endpoints.push(EmulatedEndpoint::new(spec, None, 0));
         }
-        let calls_per_request = draw.span(tier.calls);
+        let calls_per_request = draw.value_in(tier.calls);
         max_rate = max_rate.min(capacity / (mean_work * tier.work * requests).max(1e-12));
         requests *= calls_per_request;
         calls.push(calls_per_request);
-        report.push(tier.report.map(|r| (draw.length(r.period), draw.length(r.delay), draw.span(r.noise))));
+        report.push(
+            tier.report
+                .map(|r| (draw.duration_in(r.period), draw.duration_in(r.delay), draw.value_in(r.noise))),
+        );
     }
-    let rate = s.load.rate.unwrap_or_else(|| draw.span(s.load.of_capacity.unwrap_or_default()) * max_rate);
-    let quota = draw.span(s.load.quota);
-    let usage: Vec<f64> = s.tenants.iter().map(|t| t.share * draw.span(t.usage)).collect();
+    let rate =
+        s.load.rate.unwrap_or_else(|| draw.value_in(s.load.of_capacity.unwrap_or_default()) * max_rate);
+    let quota = draw.value_in(s.load.quota);
+    let usage: Vec<f64> = s.tenants.iter().map(|t| t.share * draw.value_in(t.usage)).collect();
     let settings = (0..s.tiers.len()).map(|t| settings(s, t, quota * max_rate)).collect();
     let parameters = DrawnParameters {
         settings,
@@ -55,7 +59,7 @@
         class_cv,
         class_noise,
         tenant_weights: usage,
-        try_share: draw.span(s.clients.try_share),
+        try_share: draw.value_in(s.clients.try_share),
         rate,
         calls,
         report,
@@ -82,13 +86,13 @@
         kind: number,
         cores,
         speed: 1.0,
-        slots: ((draw.span(kind.slots) * cores).round() as usize).max(1),
-        queue_capacity: (draw.span(kind.queue) * cores).round() as usize,
-        thrash: draw.span(kind.thrash),
-        thrash_at: draw.span(kind.thrash_at),
-        cold_from: draw.span(kind.cold_from),
-        cold_for: draw.length(kind.cold_for) as f64 / 1e9,
-        error_rate: draw.span(kind.error_rate),
+        slots: ((draw.value_in(kind.slots) * cores).round() as usize).max(1),
+        queue_capacity: (draw.value_in(kind.queue) * cores).round() as usize,
+        thrash: draw.value_in(kind.thrash),
+        thrash_at: draw.value_in(kind.thrash_at),
+        cold_from: draw.value_in(kind.cold_from),
+        cold_for: draw.duration_in(kind.cold_for) as f64 / 1e9,
+        error_rate: draw.value_in(kind.error_rate),
         stops_running: kind.stops_running,
         connections: 1,
         full_tax: 0.0,
--- a/crates/lab/src/world/listing.rs
+++ b/crates/lab/src/world/listing.rs
@@ -9,9 +9,9 @@
         &mut self,
         endpoint: u32,
         state: EndpointState,
-        after: crate::scenario::Lengths,
+        after: crate::scenario::DurationRange,
     ) {
-        let at = self.now + self.listing_draw.length(after);
+        let at = self.now + self.listing_draw.duration_in(after);
         self.schedule(at, SimEvent::ListChange { endpoint, state });
     }
 
@@ -40,7 +40,7 @@
             let sidecar_state = &self.sidecars[sidecar];
             if sidecar_state.tier == tier && sidecar_state.alive && sidecar_state.subscribed {
                 let process = sidecar_state.process;
-                let at = self.now + self.listing_draw.length(self.scenario.discovery.spread);
+                let at = self.now + self.listing_draw.duration_in(self.scenario.discovery.spread);
                 let sidecar = sidecar as u32;
                 self.schedule(at, SimEvent::ChangeDelivered { sidecar, process, endpoint, state, started });
             }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -29,7 +29,7 @@
 use crate::draw::{Draw, Purpose};
 use crate::policies::{Decider, Truth};
 use crate::scenario::Scenario;
-use crate::score::Book;
+use crate::score::RunStatistics;
 use cottonpoint_decide::{
     Action, ClassId, EndpointId, Event, ListKind, LoadReport, Outcome, Request, RequestId, Settings,
     TenantId, Time, TimerToken,
@@ -130,8 +130,8 @@
     number: u64,
     class: u16,
     tenant: u16,
-    over_share: bool,
-    counts: bool,
+    over_quota: bool,
+    after_warm_up: bool,
     first_sent: Nanos,
     work: f64,
     tries: u32,
@@ -227,7 +227,7 @@
     /// Past true states, if any decider uses them.
     delayed_views: Option<delayed_view::ViewHistory>,
     rules: Rules,
-    book: Book,
+    book: RunStatistics,
     action_buffers: Vec<Vec<Action>>,
     /// The client whose events are traced, and its trace.
     traced: Option<u64>,
@@ -265,7 +265,7 @@
             happened: 0,
             decisions: 0,
             quotas: vec![(f64::INFINITY, 0); scenario.tenants.len()],
-            book: Book::new(scenario),
+            book: RunStatistics::new(scenario),
             delayed_views: None,
             rules: Rules::new(scenario),
             endpoints,
@@ -299,7 +299,7 @@
             world.registry[tier].insert(endpoint as u32, listed);
         }
         let first_tier_sidecars = scenario.tiers[0].sidecars.unwrap_or(crate::scenario::Span::just(1.0));
-        let first_tier_sidecars = fleet.span(first_tier_sidecars).round().max(1.0) as u32;
+        let first_tier_sidecars = fleet.value_in(first_tier_sidecars).round().max(1.0) as u32;
         for _ in 0..first_tier_sidecars {
             world.add_sidecar(0);
         }
--- a/crates/lab/src/world/result.rs
+++ b/crates/lab/src/world/result.rs
@@ -79,7 +79,7 @@
 #[derive(Debug)]
 pub struct Played {
     /// The collected statistics.
-    pub book: Book,
+    pub book: RunStatistics,
     /// The first breaches of rules, each with its time and cause.
     pub breaches: Vec<Breach>,
     /// Number of breaches by rule, in the order of [`Rule::ALL`].
--- a/crates/lab/src/world/spec.rs
+++ b/crates/lab/src/world/spec.rs
@@ -1,7 +1,7 @@
 //! The properties of an emulated endpoint, drawn once from the seed.
 
 use super::endpoint::Nanos;
-use crate::scenario::Choke;
+use crate::scenario::Crowding;
 
 /// The properties of an emulated endpoint.
 #[derive(Clone, Debug)]
@@ -57,7 +57,7 @@
 
 impl CrowdingSpec {
     /// Draws the values of one endpoint.
-    pub fn draw(c: &Choke, draw: &mut crate::draw::Draw) -> CrowdingSpec {
+    pub fn draw(c: &Crowding, draw: &mut crate::draw::Draw) -> CrowdingSpec {
         // One draw for all values, so that an endpoint is mild or severe in every respect, and
         // values that belong together (a low threshold with a short time) stay together.
         let share = draw.share();
--- a/crates/lab/src/world/troubles.rs
+++ b/crates/lab/src/world/troubles.rs
@@ -10,8 +10,8 @@
         for (i, t) in self.scenario.troubles.iter().enumerate() {
             let number = i as u32;
             let mut draw = Draw::new(self.seed, Purpose::Troubles, u64::from(number));
-            let begins = draw.length(t.at);
-            let ends = begins + draw.length(t.length);
+            let begins = draw.duration_in(t.at);
+            let ends = begins + draw.duration_in(t.length);
             self.schedule(begins, SimEvent::Trouble { number, begins: true });
             self.schedule(ends, SimEvent::Trouble { number, begins: false });
         }
@@ -23,7 +23,7 @@
             self.endpoints[*s as usize].spec.tier == t.tier && self.endpoints[*s as usize].life == Life::Up
         };
         let up: Vec<u32> = (0..self.endpoints.len() as u32).filter(up).collect();
-        choose(up, draw.span(t.part), draw)
+        choose(up, draw.value_in(t.part), draw)
     }
 
     pub(super) fn trouble(&mut self, number: u32, begins: bool) {
@@ -31,24 +31,24 @@
         let Some(t) = scenario.troubles.get(number as usize) else { return };
         // The end repeats the draws of the beginning.
         let mut draw = Draw::new(self.seed, Purpose::Troubles, u64::from(number));
-        let (_, length) = (draw.length(t.at), draw.length(t.length));
-        let size = draw.span(t.size);
+        let (_, length) = (draw.duration_in(t.at), draw.duration_in(t.length));
+        let size = draw.value_in(t.size);
         if begins {
             let affected = match t.what {
                 What::Burst | What::Outage | What::SharedSlow => Vec::new(),
                 What::SidecarDown => {
                     let first_tier_sidecars = self.first_tier_sidecars as u32;
-                    choose((0..first_tier_sidecars).collect(), draw.span(t.part), &mut draw)
+                    choose((0..first_tier_sidecars).collect(), draw.value_in(t.part), &mut draw)
                 }
                 _ => self.choose_affected(t, &mut draw),
             };
             let words = format!("{:?} of tier {} strikes {affected:?}", t.what, t.tier);
-            self.book.event(self.now, words);
+            self.book.record_event(self.now, words);
             self.begin_trouble(number, t, &affected, size, length, &mut draw);
             self.affected.insert(number, affected);
         } else {
             let affected = self.affected.remove(&number).unwrap_or_default();
-            self.book.event(self.now, format!("{:?} of tier {} ends", t.what, t.tier));
+            self.book.record_event(self.now, format!("{:?} of tier {} ends", t.what, t.tier));
             self.end_trouble(number, t, &affected, size);
         }
     }
@@ -96,7 +96,7 @@
                 let candidates = (0..self.sidecars.len() as u32).filter(|&s| {
                     self.sidecars[s as usize].tier == t.tier && self.sidecars[s as usize].alive
                 });
-                let cut_off = choose(candidates.collect(), draw.span(t.sidecars), draw);
+                let cut_off = choose(candidates.collect(), draw.value_in(t.sidecars), draw);
                 let mark = |n: usize, which: &[u32]| {
                     let mut marks = vec![false; n];
                     which.iter().for_each(|&w| marks[w as usize] = true);
@@ -122,7 +122,7 @@
                 let batches = affected.len().div_ceil(batch).max(1);
                 for (i, &endpoint) in affected.iter().enumerate() {
                     let at = self.now + length / batches as u64 * (i / batch) as u64;
-                    let ends = at + draw.length(t.drain);
+                    let ends = at + draw.duration_in(t.drain);
                     self.schedule(at, SimEvent::DrainEndpoint { endpoint, ends });
                 }
             }
--- a/crates/lab/src/world/work.rs
+++ b/crates/lab/src/world/work.rs
@@ -38,7 +38,7 @@
             c.first_attempt_at.get_or_insert(now);
             c.attempt_sent = true;
         }
-        self.book.attempt(tier, now);
+        self.book.record_attempt(tier, now);
         self.trace_request(request, |w| {
             let state = w.endpoints.get(endpoint as usize).map(|s| s.life);
             let until = until.0.saturating_sub(DECIDER_CLOCK_START_NS + w.now) as f64 / 1e6;
@@ -121,7 +121,9 @@
         let mut draw = Draw::new(self.seed, Purpose::Attempt, key);
         let noise = self.parameters.class_noise[usize::from(f.class)];
         let tier_settings = &self.scenario.tiers[tier];
-        let own_work = f.work * tier_settings.work * draw.law(crate::scenario::Law::Lognormal, noise);
+        let own_work = f.work
+            * tier_settings.work
+            * draw.mean_one(crate::scenario::WorkDistribution::Lognormal, noise);
         let calls = self.parameters.calls[tier];
         let calls = calls.floor() + f64::from(u8::from(draw.share() < calls.fract()));
         let handshake =
--- a/crates/lab/tests/emulator.rs
+++ b/crates/lab/tests/emulator.rs
@@ -1,4 +1,4 @@
-//! The emulator: what it must never do, whatever happens on a day.
+//! Properties of the emulator that must hold whatever happens in a run.
 #![allow(missing_docs)]
 
 use cottonpoint_lab::experiment::{compare, play, rank_correlation};
@@ -19,7 +19,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against: requests or work lost or made up, under every trouble and any policy.
+    /// Guards against requests or work that are lost or invented, under every trouble and any
+    /// policy.
     #[test]
     fn requests_and_work_are_conserved(seed in 0_u64..10_000, which in 0_usize..4) {
         let policy = policy(["ours", "p2c+gradient", "wrr+aimd+budget", "top"][which]);
@@ -29,16 +30,17 @@
     }
 }
 
-/// Guards against: a checker that sees nothing, and one that blames everybody.
+/// Guards against a check that detects nothing, and one that reports breaches of policies that keep
+/// the rules.
 #[test]
-fn each_checker_sees_its_rule_broken_and_no_other_policy_is_blamed() {
+fn each_check_detects_its_breach_and_reports_none_for_a_correct_policy() {
     for (i, rule) in Rule::ALL.into_iter().enumerate() {
         assert!(breaches(Some(rule))[i] > 0, "{rule:?}");
     }
     assert_eq!(breaches(None), [0; 5]);
 }
 
-/// One server, no network, fixed work: times are exact.
+/// One endpoint, no network delay, fixed work: times are exact.
 fn exact(work: &str, give_up: &str) -> String {
     format!(
         r#"
@@ -83,9 +85,9 @@
     )
 }
 
-/// Guards against: an undefined order of what happens in the same nanosecond.
+/// Guards against an undefined order of events in the same nanosecond.
 #[test]
-fn an_answer_at_the_very_nanosecond_of_giving_up_is_in_time() {
+fn answer_in_the_nanosecond_of_the_client_timeout_is_in_time() {
     let at = |work: &str| play(&scenario(&exact(work, "10ms")), 1, policy("round-robin")).book;
     let in_time = at("10ms");
     assert!(in_time.arrived > 500);
@@ -94,9 +96,10 @@
     assert_eq!(too_late.served, 0, "one nanosecond later it is not");
 }
 
-/// Guards against: calls of lower tiers that outlive, or are lost with, the server that made them.
+/// Guards against calls to lower tiers that outlive the endpoint that made them, or are not
+/// accounted for after its end.
 #[test]
-fn a_server_that_dies_with_calls_in_three_tiers_leaves_nothing_behind() {
+fn dying_endpoint_with_calls_in_three_tiers_leaves_no_open_request() {
     let tier = |name: &str, more: &str| {
         format!(
             "[[tier]]\nname = \"{name}\"\nservers = 4\nwork = 0.3\n{more}[[tier.kind]]\nname = \"plain\"\n"
@@ -122,9 +125,10 @@
     assert!(book.outcomes[0][5] > 0 && book.outcomes[1][5] > 0, "connections were reset in two tiers");
 }
 
-/// Guards against: policies that meet different days, and days that differ from run to run.
+/// Guards against policies that meet different runs for the same seed, and against runs that are
+/// not reproducible.
 #[test]
-fn a_seed_is_the_same_day_for_every_policy_and_every_time() {
+fn equal_seeds_give_equal_runs_and_equal_load_for_every_policy() {
     let text = std::fs::read_to_string("../../lab/scenarios/gallery-deploy.toml").expect("it is shipped");
     let scenario = scenario(&text);
     let ours = || play(&scenario, 3, Policy::Ours);
@@ -136,9 +140,10 @@
     assert_ne!(first.book.figures(), rival.book.figures());
 }
 
-/// Guards against: statistics that see a difference where there is none, or none where there is one.
+/// Guards against statistics that find a difference where there is none, or none where there is
+/// one.
 #[test]
-fn comparisons_and_ranks_are_as_worked_by_hand() {
+fn comparisons_and_ranks_match_values_worked_by_hand() {
     let same: Vec<(f64, f64)> = (0..40).map(|i| (f64::from(i % 7), f64::from((i + 3) % 7))).collect();
     assert!(!compare(&same).says_something);
     let more: Vec<(f64, f64)> = same.iter().map(|p| (p.1 + 0.1, p.1)).collect();
--- a/crates/lab/tests/scenarios.rs
+++ b/crates/lab/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenario files and kept results: what is wrong is said with its place, and nothing is lost.
+//! Scenario files and stored results: faults are reported with their place, and no result is lost.
 #![allow(missing_docs)]
 
 use cottonpoint_lab::experiment::{Outcome, play};
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn every_shipped_scenario_is_good_and_named_as_its_file() {
+fn every_shipped_scenario_is_valid_and_named_after_its_file() {
     let mut count = 0;
     let folders =
         ["../../lab/scenarios", "../../lab/hunted"].map(|f| std::fs::read_dir(f).expect("shipped"));
@@ -29,9 +29,9 @@
     assert!(count >= 10);
 }
 
-/// Guards against: a wrong figure that is taken, or refused without saying where it stands.
+/// Guards against an invalid value that is accepted, or rejected without its place in the file.
 #[test]
-fn a_fault_is_named_by_file_line_and_key() {
+fn fault_message_names_file_line_and_key() {
     let calm = calm();
     let mut said = String::new();
     for (from, to) in [
@@ -58,9 +58,10 @@
     assert_snapshot!(said);
 }
 
-/// Guards against: a kept run that is lost or doubled, and a damaged store that is read as an empty one.
+/// Guards against a stored run that is lost or duplicated, and a damaged store that is read as an
+/// empty one.
 #[test]
-fn kept_runs_are_replaced_by_name_and_read_back() {
+fn stored_runs_are_replaced_by_name_and_read_back() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("kept-runs");
     let _ = std::fs::remove_dir_all(&folder);
     let scenario = Scenario::parse("calm.toml", &calm()).expect("good");
