--- a/crates/lab/src/prove/fleet.rs
+++ b/crates/lab/src/prove/fleet.rs
@@ -5,7 +5,7 @@
 use crate::policies::broken::without_cold_budget;
 use crate::policies::{Decider, Policy, Truth};
 use crate::scenario::{Class, Scenario, Span};
-use crate::world::endpoint::Life;
+use crate::world::endpoint::ProcessState;
 use crate::world::{Breach, Maker, Rule, World};
 use cottonpoint_decide::{Action, ClassId, EndpointId, Event, RequestId, Settings, Time};
 use rayon::prelude::*;
@@ -145,7 +145,10 @@
         if truth.now >= tally.counted_to + SAMPLE {
             let passed = (truth.now - tally.counted_to) as f64 / 1e9;
             tally.counted_to = truth.now;
-            let cold = truth.servers.iter().filter(|s| s.life == Life::Up && s.warmth(truth.now) < 1.0);
+            let cold = truth
+                .servers
+                .iter()
+                .filter(|s| s.process_state == ProcessState::Up && s.warmth(truth.now) < 1.0);
             let rate = cold.map(|s| {
                 let work = self.rule.work.get(s.spec.tier).copied().unwrap_or(f64::INFINITY);
                 s.undisturbed_capacity(truth.now) / work
--- a/crates/lab/src/world/delayed_view.rs
+++ b/crates/lab/src/world/delayed_view.rs
@@ -1,7 +1,7 @@
 //! The true state of the endpoints as it was some time ago, for the policy that sees it with a
 //! delay.
 
-use super::endpoint::{EmulatedEndpoint, Life, Nanos};
+use super::endpoint::{EmulatedEndpoint, Nanos, ProcessState};
 use super::{DrawnParameters, SidecarState};
 use std::collections::VecDeque;
 
@@ -32,7 +32,7 @@
 impl EndpointView {
     /// The state of an endpoint now.
     pub fn of(s: &EmulatedEndpoint, now: Nanos) -> EndpointView {
-        let up = s.life == Life::Up && s.error_share <= 0.2 && !s.gray;
+        let up = s.process_state == ProcessState::Up && s.error_share <= 0.2 && !s.gray;
         let wants = s.runnable();
         EndpointView {
             accepts_work: up && s.occupancy() < s.spec.slots + s.spec.queue_capacity,
--- a/crates/lab/src/world/endpoint.rs
+++ b/crates/lab/src/world/endpoint.rs
@@ -16,7 +16,7 @@
 
 /// The state of an endpoint's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum ProcessState {
     /// The process accepts work.
     Up,
     /// The process finishes what it has and rejects new work.
@@ -55,7 +55,7 @@
     /// Its properties.
     pub spec: EndpointSpec,
     /// The state of its process.
-    pub life: Life,
+    pub process_state: ProcessState,
     /// When its process last started; `None` for long ago.
     pub started: Option<Nanos>,
     /// Number of the current process: events and connections of earlier ones are ignored.
@@ -99,7 +99,7 @@
     pub fn new(spec: EndpointSpec, started: Option<Nanos>, now: Nanos) -> EmulatedEndpoint {
         EmulatedEndpoint {
             spec,
-            life: Life::Up,
+            process_state: ProcessState::Up,
             started,
             process: 0,
             slowdown: 1.0,
@@ -278,9 +278,9 @@
     }
 
     /// Ends the process and discards all that it held.
-    pub fn stop_process(&mut self, now: Nanos, life: Life) {
+    pub fn stop_process(&mut self, now: Nanos, process_state: ProcessState) {
         self.advance(now);
-        self.life = life;
+        self.process_state = process_state;
         self.process += 1;
         self.schedule_version += 1;
         (self.running, self.occupied_slots, self.open_connections) = (0, 0, 0);
@@ -293,7 +293,7 @@
 
     /// Starts a new process, cold.
     pub fn start_process(&mut self, now: Nanos) {
-        (self.life, self.started, self.service_clock_at) = (Life::Up, Some(now), now);
+        (self.process_state, self.started, self.service_clock_at) = (ProcessState::Up, Some(now), now);
     }
 
     /// Checks whether crowding begins or ends; must be called at each change and at
--- a/crates/lab/src/world/lifecycle.rs
+++ b/crates/lab/src/world/lifecycle.rs
@@ -1,6 +1,6 @@
 //! Starts and ends of sidecars and endpoints, and the periodic work of each second.
 
-use super::endpoint::Life;
+use super::endpoint::ProcessState;
 use super::*;
 
 impl World<'_> {
@@ -114,8 +114,8 @@
                 self.schedule(self.now + delay, SimEvent::AttemptEnd { request, attempt, outcome });
             }
         }
-        let life = if silent { Life::Vanished } else { Life::Down };
-        self.endpoints[endpoint as usize].stop_process(self.now, life);
+        let process_state = if silent { ProcessState::Vanished } else { ProcessState::Down };
+        self.endpoints[endpoint as usize].stop_process(self.now, process_state);
         if let Some(sidecar_of) = self.sidecar_of.get(&endpoint).copied() {
             self.kill_sidecar(sidecar_of, silent);
         }
@@ -129,8 +129,8 @@
         for endpoint in 0..self.endpoints.len() {
             let s = &mut self.endpoints[endpoint];
             crowded += usize::from(s.slowed_since.is_some());
-            if s.life != Life::Down
-                && s.life != Life::Vanished
+            if s.process_state != ProcessState::Down
+                && s.process_state != ProcessState::Vanished
                 && s.started.is_some_and(|at| now.saturating_sub(at) as f64 / 1e9 <= s.spec.cold_for + 1.0)
             {
                 s.advance(now);
@@ -151,7 +151,7 @@
         let limits =
             self.sidecars.iter().filter(|s| s.alive && s.tier == 0).filter_map(|s| s.decider.limit());
         let limit = limits.fold(None, |sum: Option<f64>, l| Some(sum.unwrap_or(0.0) + l));
-        let up = self.endpoints.iter().filter(|s| s.life == Life::Up).count();
+        let up = self.endpoints.iter().filter(|s| s.process_state == ProcessState::Up).count();
         self.book.record_second(now, crowded as f64 / up.max(1) as f64, limit);
         if now < self.scenario.length.0 || !self.clients.is_empty() {
             self.schedule(now + 1_000_000_000, SimEvent::SecondElapsed);
--- a/crates/lab/src/world/listing.rs
+++ b/crates/lab/src/world/listing.rs
@@ -1,6 +1,6 @@
 //! The endpoint list as discovery has it, and the delivery of its changes to sidecars.
 
-use super::endpoint::{Life, Nanos};
+use super::endpoint::{Nanos, ProcessState};
 use super::*;
 use cottonpoint_decide::{CellId, Endpoint, EndpointState, MachineTypeId, ZoneId};
 
@@ -20,9 +20,11 @@
     pub(super) fn apply_list_change(&mut self, endpoint: u32, state: EndpointState) {
         let s = &self.endpoints[endpoint as usize];
         let current = match state {
-            EndpointState::Ready => s.life == Life::Up,
-            EndpointState::Draining => s.life == Life::Draining,
-            EndpointState::Removed => matches!(s.life, Life::Down | Life::Vanished),
+            EndpointState::Ready => s.process_state == ProcessState::Up,
+            EndpointState::Draining => s.process_state == ProcessState::Draining,
+            EndpointState::Removed => {
+                matches!(s.process_state, ProcessState::Down | ProcessState::Vanished)
+            }
         };
         if !current {
             return;
--- a/crates/lab/src/world/troubles.rs
+++ b/crates/lab/src/world/troubles.rs
@@ -1,6 +1,6 @@
 //! Troubles (injected faults): when they begin and end, what they affect, what they do.
 
-use super::endpoint::{Life, Nanos};
+use super::endpoint::{Nanos, ProcessState};
 use super::*;
 use crate::scenario::{Trouble, What};
 use cottonpoint_decide::EndpointState;
@@ -20,7 +20,8 @@
     /// The endpoints that a trouble affects: a share of those that are up, at least one.
     fn choose_affected(&self, t: &Trouble, draw: &mut Draw) -> Vec<u32> {
         let up = |s: &u32| {
-            self.endpoints[*s as usize].spec.tier == t.tier && self.endpoints[*s as usize].life == Life::Up
+            self.endpoints[*s as usize].spec.tier == t.tier
+                && self.endpoints[*s as usize].process_state == ProcessState::Up
         };
         let up: Vec<u32> = (0..self.endpoints.len() as u32).filter(up).collect();
         choose(up, draw.value_in(t.part), draw)
@@ -109,7 +110,7 @@
             What::SidecarDown => affected.iter().for_each(|&s| self.kill_sidecar(s, false)),
             What::Drain => {
                 for &endpoint in affected {
-                    self.endpoints[endpoint as usize].life = Life::Draining;
+                    self.endpoints[endpoint as usize].process_state = ProcessState::Draining;
                     self.schedule_list_change(
                         endpoint,
                         EndpointState::Draining,
@@ -155,8 +156,8 @@
             }
             What::Drain => {
                 for &endpoint in affected {
-                    if self.endpoints[endpoint as usize].life == Life::Draining {
-                        self.endpoints[endpoint as usize].life = Life::Up;
+                    if self.endpoints[endpoint as usize].process_state == ProcessState::Draining {
+                        self.endpoints[endpoint as usize].process_state = ProcessState::Up;
                         self.schedule_list_change(
                             endpoint,
                             EndpointState::Ready,
@@ -179,16 +180,16 @@
     }
 
     pub(super) fn drain_endpoint(&mut self, endpoint: u32, ends: Nanos) {
-        if self.endpoints[endpoint as usize].life != Life::Up {
+        if self.endpoints[endpoint as usize].process_state != ProcessState::Up {
             return;
         }
-        self.endpoints[endpoint as usize].life = Life::Draining;
+        self.endpoints[endpoint as usize].process_state = ProcessState::Draining;
         self.schedule_list_change(endpoint, EndpointState::Draining, self.scenario.discovery.notice);
         self.schedule(ends, SimEvent::StopEndpoint { endpoint, replace: true });
     }
 
     pub(super) fn stop_endpoint(&mut self, endpoint: u32, replace: bool) {
-        if self.endpoints[endpoint as usize].life != Life::Draining {
+        if self.endpoints[endpoint as usize].process_state != ProcessState::Draining {
             return;
         }
         self.kill_endpoint(endpoint, false);
--- a/crates/lab/src/world/work.rs
+++ b/crates/lab/src/world/work.rs
@@ -1,7 +1,7 @@
 //! Attempts on their way to endpoints, and their processing there.
 
 use super::clients::earlier_attempt;
-use super::endpoint::{Admission, Life, Nanos};
+use super::endpoint::{Admission, Nanos, ProcessState};
 use super::*;
 use cottonpoint_decide::EndpointState;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -40,7 +40,7 @@
         }
         self.book.record_attempt(tier, now);
         self.trace_request(request, |w| {
-            let state = w.endpoints.get(endpoint as usize).map(|s| s.life);
+            let state = w.endpoints.get(endpoint as usize).map(|s| s.process_state);
             let until = until.0.saturating_sub(DECIDER_CLOCK_START_NS + w.now) as f64 / 1e6;
             format!("sidecar {sidecar} (tier {tier}) sends attempt {attempt} to server {endpoint} ({state:?}) for {until:.0} ms")
         });
@@ -59,7 +59,8 @@
         let one_way = self.one_way();
         let (reused, reachable) =
             (self.take_idle_connection(sidecar, endpoint), self.reachable(sidecar, endpoint));
-        let silent = !reachable || self.endpoints[endpoint as usize].life == Life::Vanished;
+        let silent =
+            !reachable || self.endpoints[endpoint as usize].process_state == ProcessState::Vanished;
         let connection_settings = self.scenario.tiers[tier].connections;
         let s = &mut self.endpoints[endpoint as usize];
         if reused && silent {
@@ -71,7 +72,7 @@
             if silent {
                 return end_attempt(self, connection_settings.timeout.0, Outcome::ConnectFailed);
             }
-            if s.life == Life::Down || s.open_connections >= s.spec.connections {
+            if s.process_state == ProcessState::Down || s.open_connections >= s.spec.connections {
                 return end_attempt(self, 2 * one_way, Outcome::ConnectFailed);
             }
             s.advance(now);
@@ -188,10 +189,10 @@
             return self.discard_job(key);
         }
         let s = &mut self.endpoints[endpoint as usize];
-        if s.life == Life::Vanished {
+        if s.process_state == ProcessState::Vanished {
             return self.discard_job(key);
         }
-        if s.process != process || s.life == Life::Down {
+        if s.process != process || s.process_state == ProcessState::Down {
             self.discard_job(key);
             let after = self.one_way();
             let outcome = if connecting { Outcome::ConnectFailed } else { Outcome::Reset };
@@ -202,7 +203,7 @@
             return;
         }
         let s = &mut self.endpoints[endpoint as usize];
-        if s.life == Life::Draining {
+        if s.process_state == ProcessState::Draining {
             return self.send_answer(key, Outcome::Rejected, 0);
         }
         let error_share = s.error_share.max(s.spec.error_rate);
