--- a/crates/lab/src/commands/mod.rs
+++ b/crates/lab/src/commands/mod.rs
@@ -114,9 +114,9 @@
 fn run(day: &Day, form: Form) -> Done<bool> {
     let read = read(&day.scenario, &day.set)?;
     let policy: Policy = day.policy.parse()?;
-    let played = experiment::play(&read.scenario, day.seed, policy);
-    let breaches = played.breaches.clone();
-    let outcome = Outcome::from(played);
+    let result = experiment::play(&read.scenario, day.seed, policy);
+    let breaches = result.breaches.clone();
+    let outcome = Outcome::from(result);
     let row = row(&read, day.seed, policy, outcome.clone());
     keep(vec![row.clone()])?;
     if form.json {
@@ -133,11 +133,11 @@
 fn write_report(day: &Day, out: &Path) -> Done<bool> {
     let read = read(&day.scenario, &day.set)?;
     let policy: Policy = day.policy.parse()?;
-    let played = experiment::play(&read.scenario, day.seed, policy);
+    let result = experiment::play(&read.scenario, day.seed, policy);
     if let Some(folder) = out.parent() {
         fs::create_dir_all(folder)?;
     }
-    fs::write(out, report::page(&read.scenario, day.seed, &policy.to_string(), &played))?;
+    fs::write(out, report::page(&read.scenario, day.seed, &policy.to_string(), &result))?;
     println!("{}", out.display());
     Ok(true)
 }
@@ -146,11 +146,11 @@
     let read = read(&day.scenario, &day.set)?;
     let policy: Policy = day.policy.parse()?;
     let maker = move |settings, seed, now| policy.make(settings, seed, now);
-    let played = World::new(&read.scenario, day.seed, &maker).trace(client).play();
-    if played.trace.is_empty() {
-        return Err(format!("no client {client} came; there were {}", played.book.arrived).into());
+    let result = World::new(&read.scenario, day.seed, &maker).trace(client).play();
+    if result.trace.is_empty() {
+        return Err(format!("no client {client} came; there were {}", result.statistics.arrived).into());
     }
-    played.trace.iter().for_each(|line| println!("{line}"));
+    result.trace.iter().for_each(|line| println!("{line}"));
     Ok(true)
 }
 
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -4,13 +4,13 @@
 use crate::policies::Policy;
 use crate::scenario::Scenario;
 use crate::score::Figures;
-use crate::world::{Played, World};
+use crate::world::{RunResult, World};
 use indicatif::{ParallelProgressIterator, ProgressBar, ProgressStyle};
 use rayon::prelude::*;
 use serde::Serialize;
 
 /// Plays one day.
-pub fn play(scenario: &Scenario, seed: u64, policy: Policy) -> Played {
+pub fn play(scenario: &Scenario, seed: u64, policy: Policy) -> RunResult {
     let maker = move |settings, seed, now| policy.make(settings, seed, now);
     World::new(scenario, seed, &maker).play()
 }
@@ -37,12 +37,12 @@
     pub first_breach: Option<String>,
 }
 
-impl From<Played> for Outcome {
-    fn from(played: Played) -> Outcome {
+impl From<RunResult> for Outcome {
+    fn from(result: RunResult) -> Outcome {
         Outcome {
-            figures: played.book.figures(),
-            breaches: played.breach_count.iter().sum(),
-            first_breach: played.breaches.first().map(ToString::to_string),
+            figures: result.statistics.figures(),
+            breaches: result.breach_count.iter().sum(),
+            first_breach: result.breaches.first().map(ToString::to_string),
         }
     }
 }
--- a/crates/lab/src/gate.rs
+++ b/crates/lab/src/gate.rs
@@ -13,7 +13,7 @@
 use crate::policies::Policy;
 use crate::scenario::{Effect, Scenario, What};
 use crate::score::Worth;
-use crate::world::Played;
+use crate::world::RunResult;
 use rayon::prelude::*;
 use serde::Serialize;
 
@@ -59,28 +59,28 @@
 }
 
 /// Judges a day by what came of it under a policy, under the late-seeing one, and under the plainest one.
-pub fn judge(scenario: &Scenario, ours: &Played, late: &Played, plainest: &Played) -> Vec<Line> {
-    let whole = |p: &Played| p.book.figures().whole;
+pub fn judge(scenario: &Scenario, ours: &RunResult, late: &RunResult, plainest: &RunResult) -> Vec<Line> {
+    let whole = |p: &RunResult| p.statistics.figures().whole;
     let mut wanted = OF_LATE * whole(late);
     if scenario.troubles.iter().all(|t| t.what == What::Burst) {
         wanted = wanted.max((whole(plainest) - CALM.0).min(whole(late) - CALM.1));
     }
-    let kept = |p: &Played| if p.breach_count.iter().all(|n| *n == 0) { 1.0 } else { 0.0 };
+    let kept = |p: &RunResult| if p.breach_count.iter().all(|n| *n == 0) { 1.0 } else { 0.0 };
     let rules = Line { what: "rules kept".into(), ours: kept(ours), late: kept(late), wanted: Some(1.0) };
     let day = Line { what: "whole day".into(), ours: whole(ours), late: whole(late), wanted: Some(wanted) };
     let mut lines = vec![rules, day];
     // What is asked is the same on all sides; it is taken from the late-seeing one.
     let share = |part: f64, of: &mut dyn Iterator<Item = f64>| part / of.sum::<f64>().max(1e-9);
-    let classes = &late.book.by_class;
-    for ((class, w), got) in scenario.classes.iter().zip(classes).zip(&ours.book.by_class) {
+    let classes = &late.statistics.by_class;
+    for ((class, w), got) in scenario.classes.iter().zip(classes).zip(&ours.statistics.by_class) {
         let requests = share(w.clients as f64, &mut classes.iter().map(|w| w.clients as f64));
         let worth = share(w.asked, &mut classes.iter().map(|w| w.asked));
         let judged = requests >= COUNTS || worth >= COUNTS || class.effect != Effect::Safe;
         let judged = judged && w.clients > 0 && w.service() >= HOPELESS;
         lines.push(line(format!("class {}", class.name), got, w, judged.then_some(OF_LATE)));
     }
-    let tenants = &late.book.by_tenant;
-    for ((tenant, w), got) in scenario.tenants.iter().zip(tenants).zip(&ours.book.by_tenant) {
+    let tenants = &late.statistics.by_tenant;
+    for ((tenant, w), got) in scenario.tenants.iter().zip(tenants).zip(&ours.statistics.by_tenant) {
         let judged = share(w.asked, &mut tenants.iter().map(|w| w.asked)) >= COUNTS;
         lines.push(line(format!("tenant {}", tenant.name), got, w, judged.then_some(OF_LATE_TENANT)));
     }
--- a/crates/lab/src/prove/fleet.rs
+++ b/crates/lab/src/prove/fleet.rs
@@ -219,8 +219,8 @@
             classes: HashMap::new(),
         })
     };
-    let played = World::new(scenario, seed, &maker).play();
-    let falls = played.breaches.into_iter().filter(|b| b.rule == Rule::Cold).collect();
+    let result = World::new(scenario, seed, &maker).play();
+    let falls = result.breaches.into_iter().filter(|b| b.rule == Rule::Cold).collect();
     let tally = tally.lock().unwrap_or_else(PoisonError::into_inner).clone();
     Tally { falls, ..tally }
 }
--- a/crates/lab/src/prove/lab/mod.rs
+++ b/crates/lab/src/prove/lab/mod.rs
@@ -218,8 +218,8 @@
         (0..8).map(|seed| Task { scenario: &scenario, seed, policy: Policy::Ours }).collect();
     let on = |threads| {
         let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build();
-        let played = pool.map(|p| p.install(|| experiment::play_all(&tasks, "threads")));
-        played.ok().and_then(|p| serde_json::to_string(&p).ok())
+        let result = pool.map(|p| p.install(|| experiment::play_all(&tasks, "threads")));
+        result.ok().and_then(|p| serde_json::to_string(&p).ok())
     };
     let (one, four) = (on(1), on(4));
     claims.push(Claim::new(
@@ -247,12 +247,12 @@
     };
     if let Ok(scenario) = long(&text, "60s") {
         let begun = Instant::now();
-        let played = experiment::play(&scenario, 1, Policy::Ours);
+        let result = experiment::play(&scenario, 1, Policy::Ours);
         let took = begun.elapsed().as_secs_f64();
         claims.push(Claim::new(
             "a minute of the gallery on one core",
             "under 1 s",
-            format!("{took:.2} s, {:.2} million events a second", played.happened as f64 / took / 1e6),
+            format!("{took:.2} s, {:.2} million events a second", result.event_count as f64 / took / 1e6),
             took < 1.0,
         ));
     }
@@ -261,15 +261,15 @@
     }
     if let Some(scenario) = shipped("wide").and_then(|t| long(&t, "20s").ok()) {
         let begun = Instant::now();
-        let played = experiment::play(&scenario, 1, Policy::Ours);
+        let result = experiment::play(&scenario, 1, Policy::Ours);
         let (took, day) = (begun.elapsed().as_secs_f64(), scenario.length.seconds());
         claims.push(Claim::new(
             "200 sidecars, 2,000 servers, 50,000 requests a second, on one core",
             "none; faster than real time is the aim",
             format!(
                 "{day:.0} s in {took:.1} s, {:.2} million events a second, {} clients",
-                played.happened as f64 / took / 1e6,
-                played.book.arrived
+                result.event_count as f64 / took / 1e6,
+                result.statistics.arrived
             ),
             true,
         ));
--- a/crates/lab/src/prove/lab/queues.rs
+++ b/crates/lab/src/prove/lab/queues.rs
@@ -57,9 +57,9 @@
     let Ok(scenario) = Scenario::parse("(proof)", text) else { return f64::NAN };
     let policy = Policy::Rival(crate::policies::Choice::RoundRobin, crate::policies::Limiting::None, false);
     let means = (0..seeds).into_par_iter().map(|seed| {
-        let played = experiment::play(&scenario, seed, policy);
+        let result = experiment::play(&scenario, seed, policy);
         // The histogram holds two digits; over many values its mean is much finer.
-        played.book.times.mean() / 1e3
+        result.statistics.times.mean() / 1e3
     });
     // Summed in the order of the seeds, so that threads change no digit.
     means.collect::<Vec<f64>>().iter().sum::<f64>() / seeds as f64
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::scenario::Scenario;
 use crate::score::{Figures, Second};
-use crate::world::{Played, Rule};
+use crate::world::{Rule, RunResult};
 use comfy_table::Table;
 use cottonpoint_decide::Outcome;
 use plotters::prelude::*;
@@ -119,9 +119,9 @@
 }
 
 /// The report of a run as one HTML page.
-pub fn page(scenario: &Scenario, seed: u64, policy: &str, played: &Played) -> String {
-    let book = &played.book;
-    let seconds = &book.seconds;
+pub fn page(scenario: &Scenario, seed: u64, policy: &str, result: &RunResult) -> String {
+    let statistics = &result.statistics;
+    let seconds = &statistics.seconds;
     let share = |part: f64, all: f64| if all > 0.0 { part / all } else { 1.0 };
     let mut body = format!(
         "<h1>{}, seed {seed}, {}</h1><p>{}</p>",
@@ -129,7 +129,7 @@
         escaped(policy),
         escaped(&scenario.about)
     );
-    body += &html_table(&["figure", "value"], figure_rows(&book.figures()));
+    body += &html_table(&["figure", "value"], figure_rows(&statistics.figures()));
     body += &lines(
         "service by second of arrival",
         "s",
@@ -172,7 +172,7 @@
         &[("crowded".into(), over_time(seconds, |s| s.crowded))],
     );
     for (t, tier) in scenario.tiers.iter().enumerate() {
-        let mut rows: Vec<_> = book.servers.iter().filter(|s| s.tier == t).collect();
+        let mut rows: Vec<_> = statistics.servers.iter().filter(|s| s.tier == t).collect();
         rows.sort_by(|a, b| a.capacity.total_cmp(&b.capacity));
         let day = scenario.length.seconds();
         let at = |of: &dyn Fn(&crate::score::ServerRow) -> f64| -> Vec<(f64, f64)> {
@@ -193,25 +193,26 @@
         rows
     };
     let classes = scenario.classes.iter().map(|c| c.name.clone()).collect();
-    body += &html_table(&["class", "worth asked", "service"], worth(classes, &book.by_class));
+    body += &html_table(&["class", "worth asked", "service"], worth(classes, &statistics.by_class));
     let tenants: Vec<String> = scenario.tenants.iter().map(|t| t.name.clone()).collect();
     if !tenants.is_empty() {
         let header = ["tenant within its quota", "worth asked", "service"];
-        body += &html_table(&header, worth(tenants, &book.by_tenant));
+        body += &html_table(&header, worth(tenants, &statistics.by_tenant));
     }
     let mut header = vec!["outcomes of attempts"];
     header.extend(scenario.tiers.iter().map(|t| t.name.as_str()));
     let rows = Outcome::ALL.iter().enumerate().map(|(i, o)| {
         let mut row = vec![format!("{o:?}")];
-        row.extend(book.outcomes.iter().map(|tier| tier[i].to_string()));
+        row.extend(statistics.outcomes.iter().map(|tier| tier[i].to_string()));
         row
     });
     body += &html_table(&header, rows);
-    let events = book.events.iter().map(|(at, what)| [format!("{:.1} s", *at as f64 / 1e9), what.clone()]);
+    let events =
+        statistics.events.iter().map(|(at, what)| [format!("{:.1} s", *at as f64 / 1e9), what.clone()]);
     body += &html_table(&["when", "what happened"], events);
-    let rules = Rule::ALL.iter().zip(&played.breach_count).map(|(r, n)| [format!("{r:?}"), n.to_string()]);
+    let rules = Rule::ALL.iter().zip(&result.breach_count).map(|(r, n)| [format!("{r:?}"), n.to_string()]);
     body += &html_table(&["rule", "breaches"], rules);
-    for breach in &played.breaches {
+    for breach in &result.breaches {
         let _ = write!(body, "<p>{}</p>", escaped(&breach.to_string()));
     }
     format!(
--- a/crates/lab/src/world/answers.rs
+++ b/crates/lab/src/world/answers.rs
@@ -13,7 +13,7 @@
         let Some(job) = self.jobs.remove(key) else { return };
         let Stage::AnswerInTransit(outcome) = job.stage else { return };
         if job.orphaned {
-            self.book.wasted_work += job.work_done;
+            self.statistics.wasted_work += job.work_done;
             return;
         }
         self.keep_connection(sidecar, endpoint, job.process);
@@ -23,12 +23,12 @@
             .filter(|f| !f.answered && outcome == Outcome::Ok)
             .map(|f| f.origin);
         match open {
-            Some(Origin::Client(..)) => self.book.useful_work += job.work_done,
+            Some(Origin::Client(..)) => self.statistics.useful_work += job.work_done,
             Some(Origin::Job(parent)) => match self.jobs.get_mut(parent) {
                 Some(parent) => parent.work_done += job.work_done,
-                None => self.book.wasted_work += job.work_done,
+                None => self.statistics.wasted_work += job.work_done,
             },
-            None => self.book.wasted_work += job.work_done,
+            None => self.statistics.wasted_work += job.work_done,
         }
         self.finish_attempt(job.request, job.attempt, outcome, report);
     }
@@ -73,7 +73,7 @@
         f.answered |= served;
         let closed = f.answered;
         let tier = self.sidecars[sidecar as usize].tier;
-        self.book.record_outcome(tier, outcome);
+        self.statistics.record_outcome(tier, outcome);
         self.trace_request(request, |_| format!("attempt {attempt} at server {index} ends: {outcome:?}"));
         if served {
             self.deliver(request, Answer::Served);
@@ -163,12 +163,12 @@
     /// Removes a job and counts the work done for it as wasted.
     pub(super) fn discard_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.remove(key) else { return };
-        self.book.wasted_work += job.work_done;
+        self.statistics.wasted_work += job.work_done;
         if let Stage::Running(done, segment) = job.stage {
             let s = &mut self.endpoints[job.endpoint as usize];
             if s.process == job.process {
                 s.remove_running(self.now);
-                self.book.wasted_work += segment - s.remaining_work(done);
+                self.statistics.wasted_work += segment - s.remaining_work(done);
             }
         }
     }
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -58,7 +58,7 @@
             attempt_sent: false,
         };
         let offered: f64 = self.offered(work);
-        self.book.record_arrival(&client_info(&client), offered);
+        self.statistics.record_arrival(&client_info(&client), offered);
         let client = self.clients.insert(client);
         self.trace_client(number, |w| {
             let class = &w.scenario.classes[class].name;
@@ -319,7 +319,7 @@
 
     fn end_client(&mut self, client: ClientKey, end: ClientOutcome) {
         if let Some(c) = self.clients.remove(client) {
-            self.book.record_end(&client_info(&c), end, self.now);
+            self.statistics.record_end(&client_info(&c), end, self.now);
         }
     }
 }
--- a/crates/lab/src/world/cold.rs
+++ b/crates/lab/src/world/cold.rs
@@ -55,7 +55,7 @@
                 window as f64 / 1e9
             )
         });
-        self.book.fallen += 1;
+        self.statistics.fallen += 1;
         self.kill_endpoint(endpoint, false);
         self.overloaded.push(endpoint);
         self.schedule_list_change(endpoint, EndpointState::Removed, self.scenario.discovery.silent);
--- a/crates/lab/src/world/lifecycle.rs
+++ b/crates/lab/src/world/lifecycle.rs
@@ -152,7 +152,7 @@
             self.sidecars.iter().filter(|s| s.alive && s.tier == 0).filter_map(|s| s.decider.limit());
         let limit = limits.fold(None, |sum: Option<f64>, l| Some(sum.unwrap_or(0.0) + l));
         let up = self.endpoints.iter().filter(|s| s.process_state == ProcessState::Up).count();
-        self.book.record_second(now, crowded as f64 / up.max(1) as f64, limit);
+        self.statistics.record_second(now, crowded as f64 / up.max(1) as f64, limit);
         if now < self.scenario.length.0 || !self.clients.is_empty() {
             self.schedule(now + 1_000_000_000, SimEvent::SecondElapsed);
         } else {
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -23,7 +23,7 @@
 use calendar::{Answer, EventCalendar, SimEvent};
 pub use delayed_view::EndpointView;
 pub use fleet::share_of;
-pub use result::Played;
+pub use result::RunResult;
 pub use rules::{Breach, Rule, tolerated_requests};
 
 use crate::draw::{Draw, Purpose};
@@ -197,7 +197,7 @@
     make_decider: Maker<'a>,
     now: Nanos,
     calendar: EventCalendar,
-    happened: u64,
+    event_count: u64,
     decisions: u64,
     endpoints: Vec<EmulatedEndpoint>,
     sidecars: Vec<SidecarState>,
@@ -227,7 +227,7 @@
     /// Past true states, if any decider uses them.
     delayed_views: Option<delayed_view::ViewHistory>,
     rules: Rules,
-    book: RunStatistics,
+    statistics: RunStatistics,
     action_buffers: Vec<Vec<Action>>,
     /// The client whose events are traced, and its trace.
     traced: Option<u64>,
@@ -262,10 +262,10 @@
             make_decider,
             now: 0,
             calendar: EventCalendar::default(),
-            happened: 0,
+            event_count: 0,
             decisions: 0,
             quotas: vec![(f64::INFINITY, 0); scenario.tenants.len()],
-            book: RunStatistics::new(scenario),
+            statistics: RunStatistics::new(scenario),
             delayed_views: None,
             rules: Rules::new(scenario),
             endpoints,
@@ -354,7 +354,7 @@
     pub fn step(&mut self) -> bool {
         let Some((at, event)) = self.calendar.next() else { return false };
         self.now = at;
-        self.happened += 1;
+        self.event_count += 1;
         match event {
             SimEvent::Arrival => self.arrive(),
             SimEvent::RetryDue(client) => self.start_try(client),
--- a/crates/lab/src/world/result.rs
+++ b/crates/lab/src/world/result.rs
@@ -4,13 +4,13 @@
 
 impl World<'_> {
     /// Runs until the last client has had its answer or has left.
-    pub fn play(mut self) -> Played {
+    pub fn play(mut self) -> RunResult {
         while self.step() {}
-        self.into_played()
+        self.into_result()
     }
 
     /// The results so far.
-    pub fn into_played(mut self) -> Played {
+    pub fn into_result(mut self) -> RunResult {
         let endpoints = self.endpoints.iter_mut().map(|s| {
             s.advance(self.now);
             crate::score::ServerRow {
@@ -21,12 +21,12 @@
                 completed: s.completed,
             }
         });
-        self.book.servers = endpoints.collect();
-        Played {
-            book: self.book,
+        self.statistics.servers = endpoints.collect();
+        RunResult {
+            statistics: self.statistics,
             breaches: self.rules.breaches,
             breach_count: self.rules.count,
-            happened: self.happened,
+            event_count: self.event_count,
             decisions: self.decisions,
             trace: self.trace,
         }
@@ -47,7 +47,7 @@
     /// for as useful, wasted or in progress. Returns a description of the difference if there is
     /// one.
     pub fn audit(&mut self) -> Result<(), String> {
-        let b = &self.book;
+        let b = &self.statistics;
         let ended = b.served + b.late + b.refused + b.failed + b.left;
         if b.arrived != ended + self.clients.len() as u64 {
             let open = self.clients.len();
@@ -67,7 +67,7 @@
                 _ => j.work_done,
             })
             .sum();
-        let accounted = self.book.useful_work + self.book.wasted_work + under_way;
+        let accounted = self.statistics.useful_work + self.statistics.wasted_work + under_way;
         if (done - accounted).abs() > 1e-8 * done.max(1.0) {
             return Err(format!("{done} s of work were done and {accounted} s are accounted for"));
         }
@@ -77,15 +77,15 @@
 
 /// The results of a run.
 #[derive(Debug)]
-pub struct Played {
+pub struct RunResult {
     /// The collected statistics.
-    pub book: RunStatistics,
+    pub statistics: RunStatistics,
     /// The first breaches of rules, each with its time and cause.
     pub breaches: Vec<Breach>,
     /// Number of breaches by rule, in the order of [`Rule::ALL`].
     pub breach_count: [u64; 5],
     /// Events processed.
-    pub happened: u64,
+    pub event_count: u64,
     /// Events delivered to deciders.
     pub decisions: u64,
     /// The trace of the client selected by [`World::trace`].
--- a/crates/lab/src/world/troubles.rs
+++ b/crates/lab/src/world/troubles.rs
@@ -44,12 +44,12 @@
                 _ => self.choose_affected(t, &mut draw),
             };
             let words = format!("{:?} of tier {} strikes {affected:?}", t.what, t.tier);
-            self.book.record_event(self.now, words);
+            self.statistics.record_event(self.now, words);
             self.begin_trouble(number, t, &affected, size, length, &mut draw);
             self.affected.insert(number, affected);
         } else {
             let affected = self.affected.remove(&number).unwrap_or_default();
-            self.book.record_event(self.now, format!("{:?} of tier {} ends", t.what, t.tier));
+            self.statistics.record_event(self.now, format!("{:?} of tier {} ends", t.what, t.tier));
             self.end_trouble(number, t, &affected, size);
         }
     }
--- a/crates/lab/src/world/work.rs
+++ b/crates/lab/src/world/work.rs
@@ -38,7 +38,7 @@
             c.first_attempt_at.get_or_insert(now);
             c.attempt_sent = true;
         }
-        self.book.record_attempt(tier, now);
+        self.statistics.record_attempt(tier, now);
         self.trace_request(request, |w| {
             let state = w.endpoints.get(endpoint as usize).map(|s| s.process_state);
             let until = until.0.saturating_sub(DECIDER_CLOCK_START_NS + w.now) as f64 / 1e6;
@@ -78,7 +78,7 @@
             s.advance(now);
             s.open_connections += 1;
             before += (connection_settings.handshake_trips * 2.0 * one_way as f64) as Nanos;
-            self.book.connections += 1;
+            self.statistics.connections += 1;
         }
         let process = self.endpoints[endpoint as usize].process;
         let job = self.new_job(request, attempt, endpoint, process, sidecar, !reused);
--- a/crates/lab/tests/emulator.rs
+++ b/crates/lab/tests/emulator.rs
@@ -88,7 +88,7 @@
 /// Guards against an undefined order of events in the same nanosecond.
 #[test]
 fn answer_in_the_nanosecond_of_the_client_timeout_is_in_time() {
-    let at = |work: &str| play(&scenario(&exact(work, "10ms")), 1, policy("round-robin")).book;
+    let at = |work: &str| play(&scenario(&exact(work, "10ms")), 1, policy("round-robin")).statistics;
     let in_time = at("10ms");
     assert!(in_time.arrived > 500);
     assert_eq!((in_time.served, in_time.failed + in_time.refused), (in_time.arrived, 0));
@@ -121,8 +121,11 @@
     while world.step() {}
     world.audit().expect("all accounted for");
     assert_eq!(world.held()[1..], [0, 0, 0], "flows, requests at servers, clients");
-    let book = world.into_played().book;
-    assert!(book.outcomes[0][5] > 0 && book.outcomes[1][5] > 0, "connections were reset in two tiers");
+    let statistics = world.into_result().statistics;
+    assert!(
+        statistics.outcomes[0][5] > 0 && statistics.outcomes[1][5] > 0,
+        "connections were reset in two tiers"
+    );
 }
 
 /// Guards against policies that meet different runs for the same seed, and against runs that are
@@ -133,11 +136,11 @@
     let scenario = scenario(&text);
     let ours = || play(&scenario, 3, Policy::Ours);
     let (first, second, rival) = (ours(), ours(), play(&scenario, 3, policy("random")));
-    assert_eq!(first.book.figures(), second.book.figures());
-    assert_eq!(first.happened, second.happened);
-    assert_eq!(first.book.arrived, rival.book.arrived);
-    assert_eq!(first.book.offered_work, rival.book.offered_work);
-    assert_ne!(first.book.figures(), rival.book.figures());
+    assert_eq!(first.statistics.figures(), second.statistics.figures());
+    assert_eq!(first.event_count, second.event_count);
+    assert_eq!(first.statistics.arrived, rival.statistics.arrived);
+    assert_eq!(first.statistics.offered_work, rival.statistics.offered_work);
+    assert_ne!(first.statistics.figures(), rival.statistics.figures());
 }
 
 /// Guards against statistics that find a difference where there is none, or none where there is
--- a/crates/lab/tests/gate.rs
+++ b/crates/lab/tests/gate.rs
@@ -7,7 +7,7 @@
 use cottonpoint_lab::policies::Policy;
 use cottonpoint_lab::policies::broken::Starves;
 use cottonpoint_lab::scenario::Scenario;
-use cottonpoint_lab::world::{Played, World};
+use cottonpoint_lab::world::{RunResult, World};
 
 const DAYS: [&str; 2] = ["gallery-slow", "gallery-calm"];
 
@@ -16,10 +16,14 @@
     Scenario::load(std::path::Path::new(&file)).unwrap_or_else(|e| panic!("{e}"))
 }
 
-fn held(scenario: &Scenario, ours: &Played) -> Vec<Line> {
+fn held(scenario: &Scenario, ours: &RunResult) -> Vec<Line> {
     let [late, plainest] =
         [LATE, PLAINEST].map(|p| play(scenario, 1, p.parse::<Policy>().expect("a known policy")));
-    assert!(late.book.figures().whole > 0.5, "the mark is worth something: {:?}", late.book.figures());
+    assert!(
+        late.statistics.figures().whole > 0.5,
+        "the mark is worth something: {:?}",
+        late.statistics.figures()
+    );
     judge(scenario, ours, &late, &plainest)
 }
 
