--- a/crates/lab/src/gate.rs
+++ b/crates/lab/src/gate.rs
@@ -11,7 +11,7 @@
 
 use crate::experiment::play;
 use crate::policies::Policy;
-use crate::scenario::{Effect, Scenario, What};
+use crate::scenario::{Effect, Scenario, TroubleKind};
 use crate::score::Worth;
 use crate::world::RunResult;
 use rayon::prelude::*;
@@ -62,7 +62,7 @@
 pub fn judge(scenario: &Scenario, ours: &RunResult, late: &RunResult, plainest: &RunResult) -> Vec<Line> {
     let whole = |p: &RunResult| p.statistics.figures().whole;
     let mut wanted = OF_LATE * whole(late);
-    if scenario.troubles.iter().all(|t| t.what == What::Burst) {
+    if scenario.troubles.iter().all(|t| t.what == TroubleKind::Burst) {
         wanted = wanted.max((whole(plainest) - CALM.0).min(whole(late) - CALM.1));
     }
     let kept = |p: &RunResult| if p.breach_count.iter().all(|n| *n == 0) { 1.0 } else { 0.0 };
--- a/crates/lab/src/scenario/check.rs
+++ b/crates/lab/src/scenario/check.rs
@@ -1,6 +1,6 @@
 //! Validates the values of a scenario before anything runs.
 
-use super::{DurationRange, Scenario, Span, What, WorkDistribution};
+use super::{DurationRange, Scenario, Span, TroubleKind, WorkDistribution};
 use cottonpoint_file::{Fault, TomlText};
 use std::fmt;
 
@@ -140,9 +140,9 @@
             self.check_range(&key("part"), t.part, 0.0, 1.0)?;
             self.check_range(&key("sidecars"), t.sidecars, 0.0, 1.0)?;
             let (least, most) = match t.what {
-                What::FastErrors => (0.0, 1.0),
-                What::Deploy => (1e-6, 1.0),
-                What::Slow | What::SharedSlow | What::Burst => (1e-3, 1e6),
+                TroubleKind::FastErrors => (0.0, 1.0),
+                TroubleKind::Deploy => (1e-6, 1.0),
+                TroubleKind::Slow | TroubleKind::SharedSlow | TroubleKind::Burst => (1e-3, 1e6),
                 _ => (0.0, unbounded),
             };
             self.check_range(&key("size"), t.size, least, most)?;
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -19,7 +19,7 @@
 use serde::Deserialize;
 use std::path::Path;
 pub use tiers::{Connections, Crowding, Kind, Report, Tier};
-pub use troubles::{Trouble, What};
+pub use troubles::{Trouble, TroubleKind};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// A scenario.
--- a/crates/lab/src/scenario/troubles.rs
+++ b/crates/lab/src/scenario/troubles.rs
@@ -7,7 +7,7 @@
 /// The kind of an injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum TroubleKind {
     /// Some endpoints run `size` times slower.
     Slow,
     /// Some endpoints fail a share `size` of their requests at once.
@@ -43,7 +43,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Trouble {
     /// The kind.
-    pub what: What,
+    pub what: TroubleKind,
     /// When it begins.
     pub at: DurationRange,
     /// How long it lasts.
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -4,7 +4,7 @@
 use super::endpoint::Nanos;
 use super::fleet::share_of;
 use super::*;
-use crate::scenario::{Effect, What};
+use crate::scenario::{Effect, TroubleKind};
 use crate::score::ClientOutcome;
 
 impl World<'_> {
@@ -13,7 +13,7 @@
     /// that all policies meet the same arrivals.
     pub(super) fn arrive(&mut self) {
         let s = self.scenario;
-        let bursts = s.troubles.iter().filter(|t| t.what == What::Burst).map(|t| t.size.to.max(1.0));
+        let bursts = s.troubles.iter().filter(|t| t.what == TroubleKind::Burst).map(|t| t.size.to.max(1.0));
         let max_rate = self.parameters.rate * (1.0 + s.load.swing) * bursts.fold(1.0, f64::max);
         let gap = self.arrivals_draw.exponential(1.0 / max_rate);
         let chance = self.arrivals_draw.share();
--- a/crates/lab/src/world/troubles.rs
+++ b/crates/lab/src/world/troubles.rs
@@ -2,7 +2,7 @@
 
 use super::endpoint::{Nanos, ProcessState};
 use super::*;
-use crate::scenario::{Trouble, What};
+use crate::scenario::{Trouble, TroubleKind};
 use cottonpoint_decide::EndpointState;
 
 impl World<'_> {
@@ -36,8 +36,8 @@
         let size = draw.value_in(t.size);
         if begins {
             let affected = match t.what {
-                What::Burst | What::Outage | What::SharedSlow => Vec::new(),
-                What::SidecarDown => {
+                TroubleKind::Burst | TroubleKind::Outage | TroubleKind::SharedSlow => Vec::new(),
+                TroubleKind::SidecarDown => {
                     let first_tier_sidecars = self.first_tier_sidecars as u32;
                     choose((0..first_tier_sidecars).collect(), draw.value_in(t.part), &mut draw)
                 }
@@ -64,15 +64,15 @@
         draw: &mut Draw,
     ) {
         match t.what {
-            What::Slow => self.change_endpoints(affected, |s| s.slowdown *= size),
-            What::SharedSlow => {
+            TroubleKind::Slow => self.change_endpoints(affected, |s| s.slowdown *= size),
+            TroubleKind::SharedSlow => {
                 let all = self.endpoints_of_tier(t.tier);
                 self.change_endpoints(&all, |s| s.slowdown *= size);
             }
-            What::FastErrors => self.change_endpoints(affected, |s| s.error_share = size),
-            What::Gray => self.change_endpoints(affected, |s| s.gray = true),
-            What::Burst => self.load_multiple *= size,
-            What::Outage => {
+            TroubleKind::FastErrors => self.change_endpoints(affected, |s| s.error_share = size),
+            TroubleKind::Gray => self.change_endpoints(affected, |s| s.gray = true),
+            TroubleKind::Burst => self.load_multiple *= size,
+            TroubleKind::Outage => {
                 self.active_outages += 1;
                 for sidecar in 0..self.sidecars.len() {
                     let sidecar_state = &mut self.sidecars[sidecar];
@@ -83,9 +83,9 @@
                     }
                 }
             }
-            What::Vanish | What::Die => {
+            TroubleKind::Vanish | TroubleKind::Die => {
                 for &endpoint in affected {
-                    self.kill_endpoint(endpoint, t.what == What::Vanish);
+                    self.kill_endpoint(endpoint, t.what == TroubleKind::Vanish);
                     self.schedule_list_change(
                         endpoint,
                         EndpointState::Removed,
@@ -93,7 +93,7 @@
                     );
                 }
             }
-            What::Partition => {
+            TroubleKind::Partition => {
                 let candidates = (0..self.sidecars.len() as u32).filter(|&s| {
                     self.sidecars[s as usize].tier == t.tier && self.sidecars[s as usize].alive
                 });
@@ -107,8 +107,8 @@
                 let endpoints = mark(self.endpoints.len(), affected);
                 self.partitions.push(Partition { trouble: number, sidecars, endpoints });
             }
-            What::SidecarDown => affected.iter().for_each(|&s| self.kill_sidecar(s, false)),
-            What::Drain => {
+            TroubleKind::SidecarDown => affected.iter().for_each(|&s| self.kill_sidecar(s, false)),
+            TroubleKind::Drain => {
                 for &endpoint in affected {
                     self.endpoints[endpoint as usize].process_state = ProcessState::Draining;
                     self.schedule_list_change(
@@ -118,7 +118,7 @@
                     );
                 }
             }
-            What::Deploy => {
+            TroubleKind::Deploy => {
                 let batch = ((size * self.endpoints_of_tier(t.tier).len() as f64).ceil() as usize).max(1);
                 let batches = affected.len().div_ceil(batch).max(1);
                 for (i, &endpoint) in affected.iter().enumerate() {
@@ -132,18 +132,18 @@
 
     fn end_trouble(&mut self, number: u32, t: &Trouble, affected: &[u32], size: f64) {
         match t.what {
-            What::Slow => self.change_endpoints(affected, |s| s.slowdown /= size),
-            What::SharedSlow => {
+            TroubleKind::Slow => self.change_endpoints(affected, |s| s.slowdown /= size),
+            TroubleKind::SharedSlow => {
                 let all = self.endpoints_of_tier(t.tier);
                 self.change_endpoints(&all, |s| s.slowdown = (s.slowdown / size).max(1.0));
             }
-            What::FastErrors => self.change_endpoints(affected, |s| s.error_share = 0.0),
-            What::Gray => self.change_endpoints(affected, |s| s.gray = false),
-            What::Burst => self.load_multiple /= size,
-            What::Outage => self.active_outages = self.active_outages.saturating_sub(1),
-            What::Partition => self.partitions.retain(|c| c.trouble != number),
-            What::SidecarDown => affected.iter().for_each(|&s| self.restart_sidecar(s)),
-            What::Vanish | What::Die => {
+            TroubleKind::FastErrors => self.change_endpoints(affected, |s| s.error_share = 0.0),
+            TroubleKind::Gray => self.change_endpoints(affected, |s| s.gray = false),
+            TroubleKind::Burst => self.load_multiple /= size,
+            TroubleKind::Outage => self.active_outages = self.active_outages.saturating_sub(1),
+            TroubleKind::Partition => self.partitions.retain(|c| c.trouble != number),
+            TroubleKind::SidecarDown => affected.iter().for_each(|&s| self.restart_sidecar(s)),
+            TroubleKind::Vanish | TroubleKind::Die => {
                 for &endpoint in affected
                     .iter()
                     .filter(|s| !self.overloaded.contains(s))
@@ -154,7 +154,7 @@
                     self.start_endpoint(endpoint);
                 }
             }
-            What::Drain => {
+            TroubleKind::Drain => {
                 for &endpoint in affected {
                     if self.endpoints[endpoint as usize].process_state == ProcessState::Draining {
                         self.endpoints[endpoint as usize].process_state = ProcessState::Up;
@@ -166,7 +166,7 @@
                     }
                 }
             }
-            What::Deploy => {}
+            TroubleKind::Deploy => {}
         }
     }
 
