--- a/crates/lab/src/policies/limits.rs
+++ b/crates/lab/src/policies/limits.rs
@@ -4,7 +4,7 @@
 
 /// A kind of limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Limiting {
+pub enum LimitKind {
     /// No limit.
     None,
     /// Additive increase, multiplicative decrease (Chiu and Jain, 1989), as Netflix's
@@ -20,7 +20,7 @@
 /// A limit and its state.
 #[derive(Clone, Debug)]
 pub struct Limit {
-    kind: Limiting,
+    kind: LimitKind,
     value: f64,
     long_average: f64,
     short_average: f64,
@@ -38,27 +38,27 @@
 
 impl Limit {
     /// A limit in its initial state.
-    pub fn new(kind: Limiting) -> Limit {
+    pub fn new(kind: LimitKind) -> Limit {
         Limit { kind, value: INITIAL_LIMIT, long_average: 0.0, short_average: 0.0 }
     }
 
     /// Requests that may run now.
     pub fn value(&self) -> f64 {
-        if self.kind == Limiting::None { f64::INFINITY } else { self.value }
+        if self.kind == LimitKind::None { f64::INFINITY } else { self.value }
     }
 
     /// Records a finished attempt: how long it took, whether it was dropped (rejected or timed
     /// out), and how many requests were running.
     pub fn record(&mut self, took: Duration, dropped: bool, running: usize) {
         match self.kind {
-            Limiting::None => {}
-            Limiting::Aimd if dropped => self.value = (self.value * 0.9).max(MIN_LIMIT),
-            Limiting::Aimd => {
+            LimitKind::None => {}
+            LimitKind::Aimd if dropped => self.value = (self.value * 0.9).max(MIN_LIMIT),
+            LimitKind::Aimd => {
                 if running as f64 * 2.0 >= self.value {
                     self.value = (self.value + 1.0 / self.value).min(MAX_LIMIT);
                 }
             }
-            Limiting::Gradient => {
+            LimitKind::Gradient => {
                 let took = took.as_secs_f64().max(1e-6);
                 if self.long_average == 0.0 {
                     (self.long_average, self.short_average) = (took, took);
--- a/crates/lab/src/policies/mod.rs
+++ b/crates/lab/src/policies/mod.rs
@@ -10,7 +10,7 @@
 use crate::world::EndpointView;
 use crate::world::endpoint::{EmulatedEndpoint, Nanos};
 use cottonpoint_decide::{Action, Balancer, Event, Settings, Time};
-pub use limits::Limiting;
+pub use limits::LimitKind;
 pub use rival::{Choice, Rival};
 use std::fmt;
 use std::str::FromStr;
@@ -59,7 +59,7 @@
     /// The project's own policy.
     Ours,
     /// A reference policy: its choice of endpoint, its limit, and whether it has a retry budget.
-    Rival(Choice, Limiting, bool),
+    Rival(Choice, LimitKind, bool),
 }
 
 /// The name of each choice of endpoint.
@@ -76,15 +76,15 @@
     ("top", Choice::TrueState),
 ];
 
-const LIMITS: [(&str, Limiting); 3] =
-    [("none", Limiting::None), ("aimd", Limiting::Aimd), ("gradient", Limiting::Gradient)];
+const LIMITS: [(&str, LimitKind); 3] =
+    [("none", LimitKind::None), ("aimd", LimitKind::Aimd), ("gradient", LimitKind::Gradient)];
 
 impl fmt::Display for Policy {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Policy::Rival(choice, limit, budget) = self else { return f.write_str("ours") };
         let name = CHOICES.iter().find(|c| c.1 == *choice).map_or("?", |c| c.0);
         f.write_str(name)?;
-        if *limit != Limiting::None {
+        if *limit != LimitKind::None {
             write!(f, "+{}", LIMITS.iter().find(|l| l.1 == *limit).map_or("?", |l| l.0))?;
         }
         if *budget { f.write_str("+budget") } else { Ok(()) }
@@ -103,7 +103,7 @@
             let known: Vec<&str> = CHOICES.iter().map(|c| c.0).collect();
             return Err(format!("unknown policy {name}; known policies: ours, {}", known.join(", ")));
         };
-        let (mut limit, mut budget) = (Limiting::None, false);
+        let (mut limit, mut budget) = (LimitKind::None, false);
         for part in parts {
             match (part, LIMITS.iter().find(|l| l.0 == part)) {
                 ("budget", _) => budget = true,
--- a/crates/lab/src/policies/rival/mod.rs
+++ b/crates/lab/src/policies/rival/mod.rs
@@ -8,7 +8,7 @@
 
 mod choose;
 
-use super::limits::{Limit, Limiting};
+use super::limits::{Limit, LimitKind};
 use super::{Decider, Truth};
 use crate::draw::{Draw, Purpose};
 use crate::world::EndpointView;
@@ -73,7 +73,7 @@
         seed: u64,
         now: Time,
         choice: Choice,
-        limit: Limiting,
+        limit: LimitKind,
         budget: bool,
     ) -> Rival {
         let mean_work = settings.classes.iter().map(|c| c.latency_target.as_secs_f64() / 10.0).collect();
