--- a/crates/lab/src/policies/mod.rs
+++ b/crates/lab/src/policies/mod.rs
@@ -5,13 +5,13 @@
 
 pub mod broken;
 mod limits;
-mod rival;
+mod reference;
 
 use crate::world::EndpointView;
 use crate::world::endpoint::{EmulatedEndpoint, Nanos};
 use cottonpoint_decide::{Action, Balancer, Event, Settings, Time};
 pub use limits::LimitKind;
-pub use rival::{Choice, Rival};
+pub use reference::{Choice, ReferencePolicy};
 use std::fmt;
 use std::str::FromStr;
 
@@ -59,7 +59,7 @@
     /// The project's own policy.
     Ours,
     /// A reference policy: its choice of endpoint, its limit, and whether it has a retry budget.
-    Rival(Choice, LimitKind, bool),
+    Reference(Choice, LimitKind, bool),
 }
 
 /// The name of each choice of endpoint.
@@ -81,7 +81,7 @@
 
 impl fmt::Display for Policy {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Policy::Rival(choice, limit, budget) = self else { return f.write_str("ours") };
+        let Policy::Reference(choice, limit, budget) = self else { return f.write_str("ours") };
         let name = CHOICES.iter().find(|c| c.1 == *choice).map_or("?", |c| c.0);
         f.write_str(name)?;
         if *limit != LimitKind::None {
@@ -113,7 +113,7 @@
                 }
             }
         }
-        Ok(Policy::Rival(choice, limit, budget))
+        Ok(Policy::Reference(choice, limit, budget))
     }
 }
 
@@ -122,8 +122,8 @@
     pub fn make(self, settings: Settings, seed: u64, now: Time) -> Box<dyn Decider> {
         match self {
             Policy::Ours => Box::new(Balancer::new(settings, seed, now)),
-            Policy::Rival(choice, limit, budget) => {
-                Box::new(Rival::new(settings, seed, now, choice, limit, budget))
+            Policy::Reference(choice, limit, budget) => {
+                Box::new(ReferencePolicy::new(settings, seed, now, choice, limit, budget))
             }
         }
     }
--- a/crates/lab/src/policies/rival/choose.rs
+++ b/crates/lab/src/policies/reference/choose.rs
@@ -48,7 +48,7 @@
 const HOT_QUANTILE: f64 = 0.84;
 const WEIGHT_EXPIRES: Duration = Duration::from_secs(180);
 
-impl Rival {
+impl ReferencePolicy {
     /// The peak-sensitive average at a time: it decays towards zero while no answer comes.
     pub(super) fn decayed_peak(t: &EndpointStats, now: Time) -> f64 {
         t.peak_average.0 * libm::exp(-now.since(t.peak_average.1).as_secs_f64() / DECAY_S)
@@ -85,7 +85,7 @@
             }
             Choice::PeakEwma => {
                 let load = |i: usize| {
-                    let cost = Rival::decayed_peak(&t[i], now);
+                    let cost = ReferencePolicy::decayed_peak(&t[i], now);
                     // An endpoint without any answer counts as slow while it has an attempt
                     // outstanding.
                     let cost = if cost > 0.0 {
--- a/crates/lab/src/policies/rival/mod.rs
+++ b/crates/lab/src/policies/reference/mod.rs
@@ -46,7 +46,7 @@
 }
 
 /// A reference policy.
-pub struct Rival {
+pub struct ReferencePolicy {
     settings: Settings,
     choice: Choice,
     limit: Limit,
@@ -66,7 +66,7 @@
 
 const QUEUE_TIME_SHARE: f64 = 0.25;
 
-impl Rival {
+impl ReferencePolicy {
     /// A decider in its initial state.
     pub fn new(
         settings: Settings,
@@ -75,10 +75,10 @@
         choice: Choice,
         limit: LimitKind,
         budget: bool,
-    ) -> Rival {
+    ) -> ReferencePolicy {
         let mean_work = settings.classes.iter().map(|c| c.latency_target.as_secs_f64() / 10.0).collect();
         let subscribe_at = matches!(settings.discovery, Discovery::OnRequest { .. }).then_some(now);
-        Rival {
+        ReferencePolicy {
             limit: Limit::new(limit),
             retry_budget: budget.then_some(10.0),
             draw: Draw::new(seed, Purpose::Sidecar, 1),
@@ -242,7 +242,7 @@
             // A failure counts at least as the average time, or fast failures would attract more
             // requests.
             let took = if outcome == Outcome::Ok { took } else { took.max(t.average) };
-            let now_cost = Rival::decayed_peak(t, now);
+            let now_cost = ReferencePolicy::decayed_peak(t, now);
             t.peak_average = if took > now_cost {
                 (took, now)
             } else {
@@ -309,7 +309,7 @@
     }
 }
 
-impl Decider for Rival {
+impl Decider for ReferencePolicy {
     fn handle(&mut self, now: Time, event: Event<'_>, truth: &Truth<'_>, actions: &mut Vec<Action>) {
         if let Some(subscribe_at) = self.subscribe_at.take_if(|subscribe_at| now >= *subscribe_at) {
             let _ = subscribe_at;
--- a/crates/lab/src/prove/lab/queues.rs
+++ b/crates/lab/src/prove/lab/queues.rs
@@ -56,7 +56,7 @@
 fn mean_time(text: &str, seeds: u64) -> f64 {
     let Ok(scenario) = Scenario::parse("(proof)", text) else { return f64::NAN };
     let policy =
-        Policy::Rival(crate::policies::Choice::RoundRobin, crate::policies::LimitKind::None, false);
+        Policy::Reference(crate::policies::Choice::RoundRobin, crate::policies::LimitKind::None, false);
     let means = (0..seeds).into_par_iter().map(|seed| {
         let result = experiment::play(&scenario, seed, policy);
         // The histogram holds two digits; over many values its mean is much finer.
--- a/crates/lab/tests/emulator.rs
+++ b/crates/lab/tests/emulator.rs
@@ -135,12 +135,12 @@
     let text = std::fs::read_to_string("../../lab/scenarios/gallery-deploy.toml").expect("it is shipped");
     let scenario = scenario(&text);
     let ours = || play(&scenario, 3, Policy::Ours);
-    let (first, second, rival) = (ours(), ours(), play(&scenario, 3, policy("random")));
+    let (first, second, reference) = (ours(), ours(), play(&scenario, 3, policy("random")));
     assert_eq!(first.statistics.figures(), second.statistics.figures());
     assert_eq!(first.event_count, second.event_count);
-    assert_eq!(first.statistics.arrived, rival.statistics.arrived);
-    assert_eq!(first.statistics.offered_work, rival.statistics.offered_work);
-    assert_ne!(first.statistics.figures(), rival.statistics.figures());
+    assert_eq!(first.statistics.arrived, reference.statistics.arrived);
+    assert_eq!(first.statistics.offered_work, reference.statistics.offered_work);
+    assert_ne!(first.statistics.figures(), reference.statistics.figures());
 }
 
 /// Guards against statistics that find a difference where there is none, or none where there is
