--- a/crates/lab/src/policies/mod.rs
+++ b/crates/lab/src/policies/mod.rs
@@ -108,9 +108,7 @@
             match (part, LIMITS.iter().find(|l| l.0 == part)) {
                 ("budget", _) => budget = true,
                 (_, Some(l)) => limit = l.1,
-                _ => {
-                    return Err(format!("unknown option +{part}; known: aimd, gradient, budget"));
-                }
+                _ => return Err(format!("unknown option +{part}; known: aimd, gradient, budget")),
             }
         }
         Ok(Policy::Reference(choice, limit, budget))
