--- a/crates/lab/src/policies/broken.rs
+++ b/crates/lab/src/policies/broken.rs
@@ -9,7 +9,7 @@
 const UNLIMITED_POLICY: &str = "random";
 
 /// A policy that breaks a rule: it changes what [`Balancer`] returns wherever the rule would hold.
-pub struct Breaks {
+pub struct RuleBreaker {
     rule: Rule,
     inner: Box<dyn Decider>,
     listed: Vec<EndpointId>,
@@ -17,10 +17,10 @@
     youngest: Option<(Time, EndpointId)>,
 }
 
-impl Breaks {
+impl RuleBreaker {
     /// A decider that breaks the rule and otherwise behaves as our policy, or, for the rule on cold
     /// servers, as a policy without a limit.
-    pub fn new(rule: Rule, settings: Settings, seed: u64, now: Time) -> Breaks {
+    pub fn new(rule: Rule, settings: Settings, seed: u64, now: Time) -> RuleBreaker {
         let mut settings = settings;
         if rule == Rule::NoRepeat {
             // Every class is declared safe to repeat.
@@ -34,11 +34,11 @@
             Policy::Ours
         };
         let inner = inner.make(settings, seed, now);
-        Breaks { rule, inner, listed: Vec::new(), drained: None, youngest: None }
+        RuleBreaker { rule, inner, listed: Vec::new(), drained: None, youngest: None }
     }
 }
 
-impl Decider for Breaks {
+impl Decider for RuleBreaker {
     fn handle(&mut self, now: Time, event: Event<'_>, truth: &Truth<'_>, actions: &mut Vec<Action>) {
         if let Event::Endpoints { entries, .. } = event {
             for e in entries {
@@ -93,13 +93,13 @@
 }
 
 /// Our policy, but it refuses all requests of a class or of a tenant on arrival.
-pub struct Starves {
+pub struct StarvingPolicy {
     class: Option<ClassId>,
     tenant: Option<TenantId>,
     inner: Box<dyn Decider>,
 }
 
-impl Starves {
+impl StarvingPolicy {
     /// A decider that starves the class and the tenant.
     pub fn new(
         class: Option<ClassId>,
@@ -107,12 +107,12 @@
         settings: Settings,
         seed: u64,
         now: Time,
-    ) -> Starves {
-        Starves { class, tenant, inner: Policy::Ours.make(settings, seed, now) }
+    ) -> StarvingPolicy {
+        StarvingPolicy { class, tenant, inner: Policy::Ours.make(settings, seed, now) }
     }
 }
 
-impl Decider for Starves {
+impl Decider for StarvingPolicy {
     fn handle(&mut self, now: Time, event: Event<'_>, truth: &Truth<'_>, actions: &mut Vec<Action>) {
         if let Event::Arrived(request) = event
             && (self.class == Some(request.class) || self.tenant.is_some() && self.tenant == request.tenant)
--- a/crates/lab/src/prove/lab/mod.rs
+++ b/crates/lab/src/prove/lab/mod.rs
@@ -4,7 +4,7 @@
 
 use super::Claim;
 use crate::experiment::{self, Task};
-use crate::policies::broken::Breaks;
+use crate::policies::broken::RuleBreaker;
 use crate::policies::{Decider, Policy};
 use crate::scenario::Scenario;
 use crate::world::{Rule, World};
@@ -186,7 +186,7 @@
     };
     let maker = move |settings: Settings, seed, now: Time| -> Box<dyn Decider> {
         match rule {
-            Some(rule) => Box::new(Breaks::new(rule, settings, seed, now)),
+            Some(rule) => Box::new(RuleBreaker::new(rule, settings, seed, now)),
             None => Policy::Ours.make(settings, seed, now),
         }
     };
--- a/crates/lab/tests/gate.rs
+++ b/crates/lab/tests/gate.rs
@@ -5,7 +5,7 @@
 use cottonpoint_lab::experiment::play;
 use cottonpoint_lab::gate::{LATE, Line, PLAINEST, judge};
 use cottonpoint_lab::policies::Policy;
-use cottonpoint_lab::policies::broken::Starves;
+use cottonpoint_lab::policies::broken::StarvingPolicy;
 use cottonpoint_lab::scenario::Scenario;
 use cottonpoint_lab::world::{RunResult, World};
 
@@ -48,7 +48,7 @@
     let scenario = day("gallery-slow");
     let starved = |class: Option<u16>, tenant: Option<u16>| {
         let maker = |settings, seed, now| -> Box<dyn cottonpoint_lab::policies::Decider> {
-            Box::new(Starves::new(class.map(ClassId), tenant.map(TenantId), settings, seed, now))
+            Box::new(StarvingPolicy::new(class.map(ClassId), tenant.map(TenantId), settings, seed, now))
         };
         held(&scenario, &World::new(&scenario, 1, &maker).play())
     };
