--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/draw.rs
@@ -1,7 +1,7 @@
 //! Random draws. Each purpose has a stream of its own, so that two policies meet the same run: what
 //! a request needs depends on the seed and its number, never on what a policy did before.
 
-use crate::scenario::{DurationRange, Span, WorkDistribution};
+use crate::scenario::{DurationRange, ValueRange, WorkDistribution};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal, Normal, Pareto};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -63,7 +63,7 @@
     }
 
     /// Uniform from a range.
-    pub fn value_in(&mut self, span: Span) -> f64 {
+    pub fn value_in(&mut self, span: ValueRange) -> f64 {
         span.at(self.share())
     }
 
--- a/crates/lab/src/prove/fleet.rs
+++ b/crates/lab/src/prove/fleet.rs
@@ -4,7 +4,7 @@
 use super::Claim;
 use crate::policies::broken::without_cold_budget;
 use crate::policies::{Decider, Policy, Truth};
-use crate::scenario::{Class, Scenario, Span};
+use crate::scenario::{Class, Scenario, ValueRange};
 use crate::world::endpoint::ProcessState;
 use crate::world::{Breach, Maker, Rule, World};
 use cottonpoint_decide::{Action, ClassId, EndpointId, Event, RequestId, Settings, Time};
@@ -86,7 +86,7 @@
 
 impl ColdRule {
     fn of(scenario: &Scenario) -> ColdRule {
-        let mid = |span: Span| (span.from + span.to) / 2.0;
+        let mid = |span: ValueRange| (span.from + span.to) / 2.0;
         let shares: f64 = scenario.classes.iter().map(|c| mid(c.share)).sum();
         let work = |c: &Class| (c.work.from.seconds() + c.work.to.seconds()) / 2.0;
         let mean: f64 = scenario.classes.iter().map(|c| mid(c.share) / shares * work(c)).sum();
--- a/crates/lab/src/scenario/check.rs
+++ b/crates/lab/src/scenario/check.rs
@@ -1,6 +1,6 @@
 //! Validates the values of a scenario before anything runs.
 
-use super::{DurationRange, Scenario, Span, TroubleKind, WorkDistribution};
+use super::{DurationRange, Scenario, TroubleKind, ValueRange, WorkDistribution};
 use cottonpoint_file::{Fault, TomlText};
 use std::fmt;
 
@@ -12,7 +12,7 @@
         self.0.fault(key, why)
     }
 
-    fn check_range(&self, key: &str, span: Span, least: f64, most: f64) -> Result<(), Fault> {
+    fn check_range(&self, key: &str, span: ValueRange, least: f64, most: f64) -> Result<(), Fault> {
         if span.from.is_nan() || span.to.is_nan() || span.from > span.to {
             return Err(self.fault(key, format!("the range is reversed: {} to {}", span.from, span.to)));
         }
@@ -42,16 +42,16 @@
             return fail("length", "must be above warm_up");
         }
         match (s.load.rate, s.load.of_capacity) {
-            (Some(rate), None) => self.check_range("load.rate", Span::just(rate), 1e-6, 1e7)?,
+            (Some(rate), None) => self.check_range("load.rate", ValueRange::single(rate), 1e-6, 1e7)?,
             (None, Some(share)) => self.check_range("load.of_capacity", share, 1e-6, 100.0)?,
             _ => return fail("load", "needs exactly one of rate and of_capacity"),
         }
         self.check_range("load.quota", s.load.quota, 0.0, 1e9)?;
-        self.check_range("load.swing", Span::just(s.load.swing), 0.0, 1.0)?;
+        self.check_range("load.swing", ValueRange::single(s.load.swing), 0.0, 1.0)?;
         if s.load.wave.0 == 0 {
             return fail("load.wave", "must be above 0");
         }
-        self.check_range("network.jitter", Span::just(s.network.jitter), 0.0, 1.0)?;
+        self.check_range("network.jitter", ValueRange::single(s.network.jitter), 0.0, 1.0)?;
         let d = &s.discovery;
         for (key, span) in
             [("notice", d.notice), ("add", d.add), ("silent", d.silent), ("spread", d.spread)]
@@ -59,11 +59,11 @@
             self.check_durations(&format!("discovery.{key}"), span)?;
         }
         self.check_range("clients.try_share", s.clients.try_share, 1e-3, 1.0)?;
-        self.check_range("clients.try_varies", Span::just(s.clients.try_varies), 0.0, 0.9)?;
+        self.check_range("clients.try_varies", ValueRange::single(s.clients.try_varies), 0.0, 0.9)?;
         self.check_durations("clients.backoff", s.clients.backoff)?;
-        self.check_range("clients.honour", Span::just(s.clients.honour), 0.0, 1.0)?;
-        self.check_range("clients.impatient", Span::just(s.clients.impatient), 0.0, 1.0)?;
-        self.check_range("rules.fall_multiple", Span::just(s.rules.fall_multiple), 0.1, 1e6)?;
+        self.check_range("clients.honour", ValueRange::single(s.clients.honour), 0.0, 1.0)?;
+        self.check_range("clients.impatient", ValueRange::single(s.clients.impatient), 0.0, 1.0)?;
+        self.check_range("rules.fall_multiple", ValueRange::single(s.rules.fall_multiple), 0.1, 1e6)?;
         for (i, c) in s.classes.iter().enumerate() {
             let key = |field: &str| format!("class.{i}.{field}");
             self.check_range(&key("share"), c.share, 0.0, 1e6)?;
@@ -74,13 +74,13 @@
             let least = if c.law == WorkDistribution::Pareto { 1e-3 } else { 0.0 };
             self.check_range(&key("cv"), c.cv, least, 100.0)?;
             self.check_range(&key("noise"), c.noise, 0.0, 10.0)?;
-            self.check_range(&key("worth"), Span::just(c.worth), 1e-9, 1e9)?;
+            self.check_range(&key("worth"), ValueRange::single(c.worth), 1e-9, 1e9)?;
             if c.aim.0 == 0 || c.give_up < c.aim {
                 return fail(&key("give_up"), "must be no shorter than aim, and aim above 0");
             }
         }
         for (i, t) in s.tenants.iter().enumerate() {
-            self.check_range(&format!("tenant.{i}.share"), Span::just(t.share), 1e-6, 1.0)?;
+            self.check_range(&format!("tenant.{i}.share"), ValueRange::single(t.share), 1e-6, 1.0)?;
             self.check_range(&format!("tenant.{i}.usage"), t.usage, 0.0, 1e3)?;
         }
         for (i, t) in s.tiers.iter().enumerate() {
@@ -92,7 +92,7 @@
                 None if i == 0 => return fail(&key("sidecars"), "required for the first tier"),
                 None => {}
             }
-            self.check_range(&key("work"), Span::just(t.work), 1e-6, 1.0)?;
+            self.check_range(&key("work"), ValueRange::single(t.work), 1e-6, 1.0)?;
             self.check_range(&key("calls"), t.calls, 0.0, 50.0)?;
             if t.calls.to > 0.0 && i + 1 == s.tiers.len() {
                 return fail(&key("calls"), "must be 0 for the last tier");
--- a/crates/lab/src/scenario/classes.rs
+++ b/crates/lab/src/scenario/classes.rs
@@ -1,6 +1,6 @@
 //! Classes of requests, and tenants.
 
-use super::figures::{DurationNs, DurationRange, Span, ms};
+use super::figures::{DurationNs, DurationRange, ValueRange, ms};
 use serde::Deserialize;
 
 /// The distribution of a class's work around its mean.
@@ -38,7 +38,7 @@
     /// The name of the class.
     pub name: String,
     /// Its share of the requests, as a weight relative to the other classes.
-    pub share: Span,
+    pub share: ValueRange,
     /// Mean work over all tiers, as time on a core of speed 1.
     pub work: DurationRange,
     /// The distribution of the work.
@@ -46,10 +46,10 @@
     pub law: WorkDistribution,
     /// Coefficient of variation of the work.
     #[serde(default = "half")]
-    pub cv: Span,
+    pub cv: ValueRange,
     /// Coefficient of variation of the work of a request's attempts around the request's work.
     #[serde(default)]
-    pub noise: Span,
+    pub noise: ValueRange,
     /// The latency target: an answer within this time has the full worth.
     pub aim: DurationNs,
     /// The client timeout, over all tries of a client.
@@ -67,8 +67,8 @@
     pub window: DurationNs,
 }
 
-fn half() -> Span {
-    Span::just(0.5)
+fn half() -> ValueRange {
+    ValueRange::single(0.5)
 }
 
 fn ten_seconds() -> DurationNs {
@@ -85,14 +85,14 @@
     pub share: f64,
     /// Its demand, as a multiple of its share.
     #[serde(default = "whole")]
-    pub usage: Span,
+    pub usage: ValueRange,
     /// Worth of its requests beyond its quota, as a fraction.
     #[serde(default = "a_fifth")]
     pub over_share_worth: f64,
 }
 
-pub(super) fn whole() -> Span {
-    Span::just(1.0)
+pub(super) fn whole() -> ValueRange {
+    ValueRange::single(1.0)
 }
 
 fn a_fifth() -> f64 {
--- a/crates/lab/src/scenario/day.rs
+++ b/crates/lab/src/scenario/day.rs
@@ -1,6 +1,6 @@
 //! Settings of the whole run: network, discovery, rules, clients, load, penalties of the score.
 
-use super::figures::{DurationNs, DurationRange, Span, ms};
+use super::figures::{DurationNs, DurationRange, ValueRange, ms};
 use serde::Deserialize;
 
 /// Network delays.
@@ -98,7 +98,7 @@
     pub retries: u32,
     /// The timeout of a first try, as a share of the client timeout, drawn once per run; a retry
     /// has what is left.
-    pub try_share: Span,
+    pub try_share: ValueRange,
     /// The timeout of a client's first try varies by up to this share of itself, up or down.
     pub try_varies: f64,
     /// Backoff before a retry.
@@ -115,7 +115,7 @@
     fn default() -> Clients {
         Clients {
             retries: 3,
-            try_share: Span { from: 0.5, to: 0.6 },
+            try_share: ValueRange { from: 0.5, to: 0.6 },
             try_varies: 0.0,
             backoff: DurationRange { from: ms(65), to: ms(520) },
             honour: 0.2,
@@ -134,10 +134,10 @@
     pub rate: Option<f64>,
     /// First tries as a share of the rate that the scarcest tier can sustain.
     #[serde(default)]
-    pub of_capacity: Option<Span>,
+    pub of_capacity: Option<ValueRange>,
     /// The sum of the tenants' quotas, as a share of the same rate.
     #[serde(default = "most_of_it")]
-    pub quota: Span,
+    pub quota: ValueRange,
     /// The rate varies in a sine wave by this share of itself ...
     #[serde(default)]
     pub swing: f64,
@@ -146,8 +146,8 @@
     pub wave: DurationNs,
 }
 
-fn most_of_it() -> Span {
-    Span { from: 0.76, to: 0.94 }
+fn most_of_it() -> ValueRange {
+    ValueRange { from: 0.76, to: 0.94 }
 }
 
 fn twenty_seconds() -> DurationNs {
--- a/crates/lab/src/scenario/figures.rs
+++ b/crates/lab/src/scenario/figures.rs
@@ -6,17 +6,17 @@
 
 /// A number, or the range from which each seed draws one.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Span {
+pub struct ValueRange {
     /// The lower bound.
     pub from: f64,
     /// The upper bound.
     pub to: f64,
 }
 
-impl Span {
+impl ValueRange {
     /// A range of one value.
-    pub const fn just(value: f64) -> Span {
-        Span { from: value, to: value }
+    pub const fn single(value: f64) -> ValueRange {
+        ValueRange { from: value, to: value }
     }
 
     /// The value at a fraction of the range, 0 to 1.
@@ -25,27 +25,27 @@
     }
 }
 
-impl Default for Span {
-    fn default() -> Span {
-        Span::just(0.0)
+impl Default for ValueRange {
+    fn default() -> ValueRange {
+        ValueRange::single(0.0)
     }
 }
 
-struct SpanVisitor;
+struct ValueRangeVisitor;
 
-impl<'de> Visitor<'de> for SpanVisitor {
-    type Value = Span;
+impl<'de> Visitor<'de> for ValueRangeVisitor {
+    type Value = ValueRange;
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a number, or a range of two numbers as [least, most]")
     }
-    fn visit_f64<E: de::Error>(self, v: f64) -> Result<Span, E> {
-        Ok(Span::just(v))
+    fn visit_f64<E: de::Error>(self, v: f64) -> Result<ValueRange, E> {
+        Ok(ValueRange::single(v))
     }
-    fn visit_i64<E: de::Error>(self, v: i64) -> Result<Span, E> {
-        Ok(Span::just(v as f64))
+    fn visit_i64<E: de::Error>(self, v: i64) -> Result<ValueRange, E> {
+        Ok(ValueRange::single(v as f64))
     }
-    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Span, A::Error> {
-        pair(&mut seq, &self).map(|(from, to)| Span { from, to })
+    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<ValueRange, A::Error> {
+        pair(&mut seq, &self).map(|(from, to)| ValueRange { from, to })
     }
 }
 
@@ -61,9 +61,9 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Span {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Span, D::Error> {
-        d.deserialize_any(SpanVisitor)
+impl<'de> Deserialize<'de> for ValueRange {
+    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<ValueRange, D::Error> {
+        d.deserialize_any(ValueRangeVisitor)
     }
 }
 
@@ -115,13 +115,13 @@
 
 impl DurationRange {
     /// A range of one duration.
-    pub const fn just(length: DurationNs) -> DurationRange {
+    pub const fn single(length: DurationNs) -> DurationRange {
         DurationRange { from: length, to: length }
     }
 
     /// The duration at a fraction of the range, 0 to 1, in nanoseconds.
     pub fn at(self, share: f64) -> u64 {
-        Span { from: self.from.0 as f64, to: self.to.0 as f64 }.at(share) as u64
+        ValueRange { from: self.from.0 as f64, to: self.to.0 as f64 }.at(share) as u64
     }
 }
 
@@ -133,7 +133,7 @@
         f.write_str("a time with its unit, such as \"750ms\", or a range of two as [\"1s\", \"2s\"]")
     }
     fn visit_str<E: de::Error>(self, text: &str) -> Result<DurationRange, E> {
-        DurationVisitor.visit_str(text).map(DurationRange::just)
+        DurationVisitor.visit_str(text).map(DurationRange::single)
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<DurationRange, A::Error> {
         pair(&mut seq, &self).map(|(from, to)| DurationRange { from, to })
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -15,7 +15,7 @@
 use cottonpoint_file::{Fault, TomlText};
 pub use day::{Clients, Discovery, Load, Network, Prices, Rules};
 use figures::ms;
-pub use figures::{DurationNs, DurationRange, Span};
+pub use figures::{DurationNs, DurationRange, ValueRange};
 use serde::Deserialize;
 use std::path::Path;
 pub use tiers::{Connections, Crowding, Kind, Report, Tier};
--- a/crates/lab/src/scenario/tiers.rs
+++ b/crates/lab/src/scenario/tiers.rs
@@ -1,7 +1,7 @@
 //! Tiers of endpoints: machine kinds, load reports, connections, crowding.
 
 use super::classes::whole;
-use super::figures::{DurationNs, DurationRange, Span, ms};
+use super::figures::{DurationNs, DurationRange, ValueRange, ms};
 use serde::Deserialize;
 
 /// A tier of endpoints.
@@ -11,17 +11,17 @@
     /// The name of the tier.
     pub name: String,
     /// Number of endpoints; a range draws a whole number.
-    pub servers: Span,
+    pub servers: ValueRange,
     /// Number of sidecars in front of the first tier. Later tiers have one beside each endpoint of
     /// the tier above.
     #[serde(default)]
-    pub sidecars: Option<Span>,
+    pub sidecars: Option<ValueRange>,
     /// Share of a request's work that each call of this tier does.
     #[serde(default = "whole_share")]
     pub work: f64,
     /// Mean number of calls that each request of this tier makes to the next, one after another.
     #[serde(default)]
-    pub calls: Span,
+    pub calls: ValueRange,
     /// A call to the next tier has the deadline of its request; otherwise it has its class's client
     /// timeout.
     #[serde(default = "yes")]
@@ -56,37 +56,37 @@
     pub name: String,
     /// Its share of the tier, as a weight relative to the other kinds.
     #[serde(default = "whole")]
-    pub share: Span,
+    pub share: ValueRange,
     /// Number of cores.
     #[serde(default = "one")]
     pub cores: u32,
     /// Work that a core does per unit of time.
     #[serde(default = "whole")]
-    pub speed: Span,
+    pub speed: ValueRange,
     /// Coefficient of variation of the speed of the kind's machines.
     #[serde(default)]
-    pub speed_cv: Span,
+    pub speed_cv: ValueRange,
     /// Requests in service at once, per core.
     #[serde(default = "slots")]
-    pub slots: Span,
+    pub slots: ValueRange,
     /// Requests that may queue for a slot, per core; more are rejected.
     #[serde(default = "queue")]
-    pub queue: Span,
+    pub queue: ValueRange,
     /// Efficiency lost for each request held per core ...
     #[serde(default)]
-    pub thrash: Span,
+    pub thrash: ValueRange,
     /// ... beyond this many.
     #[serde(default = "many")]
-    pub thrash_at: Span,
+    pub thrash_at: ValueRange,
     /// Share of its capacity that a newly started endpoint has.
     #[serde(default = "whole")]
-    pub cold_from: Span,
+    pub cold_from: ValueRange,
     /// Time to warm up.
     #[serde(default)]
     pub cold_for: DurationRange,
     /// Share of requests answered with an error.
     #[serde(default)]
-    pub error_rate: Span,
+    pub error_rate: ValueRange,
     /// A cancelled request is stopped even when it is already running.
     #[serde(default)]
     pub stops_running: bool,
@@ -96,16 +96,16 @@
     1
 }
 
-fn slots() -> Span {
-    Span::just(16.0)
+fn slots() -> ValueRange {
+    ValueRange::single(16.0)
 }
 
-fn queue() -> Span {
-    Span::just(16.0)
+fn queue() -> ValueRange {
+    ValueRange::single(16.0)
 }
 
-fn many() -> Span {
-    Span::just(1e9)
+fn many() -> ValueRange {
+    ValueRange::single(1e9)
 }
 
 /// Load reports, which are sent with answers.
@@ -118,7 +118,7 @@
     pub delay: DurationRange,
     /// Coefficient of variation of the noise in its values.
     #[serde(default)]
-    pub noise: Span,
+    pub noise: ValueRange,
 }
 
 /// Connections to the endpoints of a tier.
@@ -158,15 +158,15 @@
 #[serde(deny_unknown_fields)]
 pub struct Crowding {
     /// Crowding begins when more than this many requests wait for each core ...
-    pub waiting: Span,
+    pub waiting: ValueRange,
     /// ... for this long.
     pub over: DurationRange,
     /// Factor by which the endpoint becomes slower.
-    pub slower: Span,
+    pub slower: ValueRange,
     /// The endpoint recovers after it has been mostly idle for this long ...
     pub rest: DurationRange,
     /// ... that is, below this utilization, ...
-    pub below: Span,
+    pub below: ValueRange,
     /// ... or after this time in any case.
     pub most: DurationRange,
 }
--- a/crates/lab/src/scenario/troubles.rs
+++ b/crates/lab/src/scenario/troubles.rs
@@ -1,7 +1,7 @@
 //! Troubles: the faults injected in a run, and their times.
 
 use super::classes::whole;
-use super::figures::{DurationRange, Span};
+use super::figures::{DurationRange, ValueRange};
 use serde::{Deserialize, Serialize};
 
 /// The kind of an injected fault.
@@ -54,18 +54,18 @@
     pub tier: usize,
     /// Affected share of the tier (at least one machine).
     #[serde(default = "a_tenth")]
-    pub part: Span,
+    pub part: ValueRange,
     /// Severity; its meaning depends on the kind.
     #[serde(default = "whole")]
-    pub size: Span,
+    pub size: ValueRange,
     /// For a deploy: how long an endpoint drains.
     #[serde(default)]
     pub drain: DurationRange,
     /// For a partition: share of the sidecars that are cut off.
     #[serde(default = "whole")]
-    pub sidecars: Span,
+    pub sidecars: ValueRange,
 }
 
-fn a_tenth() -> Span {
-    Span::just(0.1)
+fn a_tenth() -> ValueRange {
+    ValueRange::single(0.1)
 }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -298,7 +298,8 @@
             let listed = (cottonpoint_decide::EndpointState::Ready, None);
             world.registry[tier].insert(endpoint as u32, listed);
         }
-        let first_tier_sidecars = scenario.tiers[0].sidecars.unwrap_or(crate::scenario::Span::just(1.0));
+        let first_tier_sidecars =
+            scenario.tiers[0].sidecars.unwrap_or(crate::scenario::ValueRange::single(1.0));
         let first_tier_sidecars = fleet.value_in(first_tier_sidecars).round().max(1.0) as u32;
         for _ in 0..first_tier_sidecars {
             world.add_sidecar(0);
