--- a/crates/lab/src/commands/mod.rs
+++ b/crates/lab/src/commands/mod.rs
@@ -145,8 +145,8 @@
 fn trace(day: &Day, client: u64) -> Done<bool> {
     let read = read(&day.scenario, &day.set)?;
     let policy: Policy = day.policy.parse()?;
-    let maker = move |settings, seed, now| policy.make(settings, seed, now);
-    let result = World::new(&read.scenario, day.seed, &maker).trace(client).play();
+    let make_decider = move |settings, seed, now| policy.make(settings, seed, now);
+    let result = World::new(&read.scenario, day.seed, &make_decider).trace(client).play();
     if result.trace.is_empty() {
         return Err(format!("no client {client} came; there were {}", result.statistics.arrived).into());
     }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -11,8 +11,8 @@
 
 /// Plays one day.
 pub fn play(scenario: &Scenario, seed: u64, policy: Policy) -> RunResult {
-    let maker = move |settings, seed, now| policy.make(settings, seed, now);
-    World::new(scenario, seed, &maker).play()
+    let make_decider = move |settings, seed, now| policy.make(settings, seed, now);
+    World::new(scenario, seed, &make_decider).play()
 }
 
 /// One day to play.
--- a/crates/lab/src/policies/mod.rs
+++ b/crates/lab/src/policies/mod.rs
@@ -21,10 +21,10 @@
     /// The time.
     pub now: Nanos,
     /// All endpoints of the run, including ended ones; the index is the endpoint's id.
-    pub servers: &'a [EmulatedEndpoint],
+    pub endpoints: &'a [EmulatedEndpoint],
     /// The same endpoints at the time at which the load reports were made that a sidecar has by
     /// now; empty unless some decider [uses it](Decider::uses_delayed_state).
-    pub late: &'a [EndpointView],
+    pub delayed: &'a [EndpointView],
 }
 
 /// Makes the decisions of one sidecar, with the same events and actions as [`Balancer`].
@@ -32,7 +32,7 @@
     /// Handles one event and appends the resulting actions.
     fn handle(&mut self, now: Time, event: Event<'_>, truth: &Truth<'_>, actions: &mut Vec<Action>);
 
-    /// Whether the decider uses [`Truth::late`].
+    /// Whether the decider uses [`Truth::delayed`].
     fn uses_delayed_state(&self) -> bool {
         false
     }
--- a/crates/lab/src/policies/reference/choose.rs
+++ b/crates/lab/src/policies/reference/choose.rs
@@ -142,8 +142,8 @@
     pub(super) fn expected_time(&self, t: &EndpointStats, class: usize, truth: &Truth<'_>) -> f64 {
         let place = t.id.0 as usize;
         let view = match self.choice {
-            Choice::DelayedState => truth.late.get(place).copied(),
-            _ => truth.servers.get(place).map(|s| EndpointView::of(s, truth.now)),
+            Choice::DelayedState => truth.delayed.get(place).copied(),
+            _ => truth.endpoints.get(place).map(|s| EndpointView::of(s, truth.now)),
         };
         let Some(s) = view.filter(|s| s.accepts_work) else { return f64::INFINITY };
         let ahead = s.runnable.max(t.outstanding as usize / 2) as f64;
--- a/crates/lab/src/prove/fleet.rs
+++ b/crates/lab/src/prove/fleet.rs
@@ -6,7 +6,7 @@
 use crate::policies::{Decider, Policy, Truth};
 use crate::scenario::{Class, Scenario, ValueRange};
 use crate::world::endpoint::ProcessState;
-use crate::world::{Breach, Maker, Rule, World};
+use crate::world::{Breach, DeciderFactory, Rule, World};
 use cottonpoint_decide::{Action, ClassId, EndpointId, Event, RequestId, Settings, Time};
 use rayon::prelude::*;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -138,7 +138,7 @@
         let mut tally = self.tally.lock().unwrap_or_else(PoisonError::into_inner);
         // An attempt that ends has had its connection: no other server needs a look.
         if let Event::Finished { endpoint, .. } = event
-            && let Some(server) = truth.servers.get(endpoint.0 as usize)
+            && let Some(server) = truth.endpoints.get(endpoint.0 as usize)
         {
             tally.most_open = tally.most_open.max(server.open_connections);
         }
@@ -146,7 +146,7 @@
             let passed = (truth.now - tally.counted_to) as f64 / 1e9;
             tally.counted_to = truth.now;
             let cold = truth
-                .servers
+                .endpoints
                 .iter()
                 .filter(|s| s.process_state == ProcessState::Up && s.warmth(truth.now) < 1.0);
             let rate = cold.map(|s| {
@@ -160,7 +160,7 @@
             match action {
                 Action::Subscribe => *tally.asks.entry(second).or_default() += 1,
                 Action::Send { id, endpoint, .. } => {
-                    let Some(server) = truth.servers.get(endpoint.0 as usize) else { continue };
+                    let Some(server) = truth.endpoints.get(endpoint.0 as usize) else { continue };
                     let work = self.rule.work.get(server.spec.tier).copied().unwrap_or(f64::INFINITY);
                     if server.warmth(truth.now) < 1.0 {
                         tally.to_cold += 1;
@@ -206,10 +206,10 @@
 }
 
 /// Plays a day with deciders made by `make` and counts over all sidecars.
-pub fn count_all(scenario: &Scenario, seed: u64, make: Maker<'_>) -> Tally {
+pub fn count_all(scenario: &Scenario, seed: u64, make: DeciderFactory<'_>) -> Tally {
     let tally = Arc::new(Mutex::new(Tally::default()));
     let rule = ColdRule::of(scenario);
-    let maker = |settings: Settings, seed, now| -> Box<dyn Decider> {
+    let make_decider = |settings: Settings, seed, now| -> Box<dyn Decider> {
         tally.lock().unwrap_or_else(PoisonError::into_inner).sidecars += 1;
         Box::new(Counted {
             inner: make(settings, seed, now),
@@ -219,7 +219,7 @@
             classes: HashMap::new(),
         })
     };
-    let result = World::new(scenario, seed, &maker).play();
+    let result = World::new(scenario, seed, &make_decider).play();
     let falls = result.breaches.into_iter().filter(|b| b.rule == Rule::Cold).collect();
     let tally = tally.lock().unwrap_or_else(PoisonError::into_inner).clone();
     Tally { falls, ..tally }
@@ -236,7 +236,7 @@
         Ok(scenario) => scenario,
         Err(claim) => return claims.push(claim),
     };
-    let play = |make: Maker<'_>| -> Vec<Tally> {
+    let play = |make: DeciderFactory<'_>| -> Vec<Tally> {
         (1..=seeds).into_par_iter().map(|seed| count_all(&scenario, seed, make)).collect()
     };
     let broken = |tallies: &[Tally]| tallies.iter().filter(|t| !t.falls.is_empty()).count();
--- a/crates/lab/src/prove/lab/mod.rs
+++ b/crates/lab/src/prove/lab/mod.rs
@@ -134,8 +134,8 @@
         Ok(scenario) => scenario,
         Err(e) => return (0, 0, Some(e.to_string())),
     };
-    let maker = move |settings, seed, now| policy.make(settings, seed, now);
-    let mut world = World::new(&scenario, seed, &maker);
+    let make_decider = move |settings, seed, now| policy.make(settings, seed, now);
+    let mut world = World::new(&scenario, seed, &make_decider);
     let (mut events, mut audits) = (0, 0);
     while world.step() {
         events += 1;
@@ -184,13 +184,13 @@
     let Ok(scenario) = Scenario::parse("(proof)", &broken_day(rule.unwrap_or(Rule::Drains))) else {
         return [0; 5];
     };
-    let maker = move |settings: Settings, seed, now: Time| -> Box<dyn Decider> {
+    let make_decider = move |settings: Settings, seed, now: Time| -> Box<dyn Decider> {
         match rule {
             Some(rule) => Box::new(RuleBreaker::new(rule, settings, seed, now)),
             None => Policy::Ours.make(settings, seed, now),
         }
     };
-    World::new(&scenario, 1, &maker).play().breach_count
+    World::new(&scenario, 1, &make_decider).play().breach_count
 }
 
 fn rule_checkers(claims: &mut Vec<Claim>) {
@@ -275,8 +275,8 @@
         ));
     }
     if let Ok(scenario) = long(&text, "3600s") {
-        let maker = |settings, seed, now| Policy::Ours.make(settings, seed, now);
-        let mut world = World::new(&scenario, 1, &maker);
+        let make_decider = |settings, seed, now| Policy::Ours.make(settings, seed, now);
+        let mut world = World::new(&scenario, 1, &make_decider);
         let (mut most, mut quarter, mut by_quarter) = (0, 0, Vec::new());
         while world.step() {
             most = most.max(world.held().iter().sum::<usize>());
--- a/crates/lab/src/world/deciders.rs
+++ b/crates/lab/src/world/deciders.rs
@@ -19,7 +19,7 @@
         }
         let tier = self.sidecars[sidecar as usize].tier;
         let views = self.delayed_views.as_ref().map_or(&[][..], |views| views.visible(self.now, tier));
-        let truth = Truth { now: self.now, servers: &self.endpoints, late: views };
+        let truth = Truth { now: self.now, endpoints: &self.endpoints, delayed: views };
         self.sidecars[sidecar as usize].decider.handle(time, event, &truth, &mut actions);
         for action in actions.drain(..) {
             self.perform(sidecar, action);
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -188,13 +188,13 @@
 }
 
 /// Makes the decider of one sidecar.
-pub type Maker<'a> = &'a (dyn Fn(Settings, u64, Time) -> Box<dyn Decider> + Sync);
+pub type DeciderFactory<'a> = &'a (dyn Fn(Settings, u64, Time) -> Box<dyn Decider> + Sync);
 
 /// A run in progress.
 pub struct World<'a> {
     scenario: &'a Scenario,
     seed: u64,
-    make_decider: Maker<'a>,
+    make_decider: DeciderFactory<'a>,
     now: Nanos,
     calendar: EventCalendar,
     event_count: u64,
@@ -251,8 +251,8 @@
 }
 
 impl<'a> World<'a> {
-    /// A run that has not begun. `maker` makes the decider of each sidecar.
-    pub fn new(scenario: &'a Scenario, seed: u64, make_decider: Maker<'a>) -> World<'a> {
+    /// A run that has not begun. `make_decider` makes the decider of each sidecar.
+    pub fn new(scenario: &'a Scenario, seed: u64, make_decider: DeciderFactory<'a>) -> World<'a> {
         let mut fleet = Draw::new(seed, Purpose::Fleet, 0);
         let (endpoints, parameters) = fleet::draw(scenario, &mut fleet);
         let tiers = scenario.tiers.len();
--- a/crates/lab/tests/emulator.rs
+++ b/crates/lab/tests/emulator.rs
@@ -116,8 +116,8 @@
         + &dies(1, 5000)
         + &dies(2, 7000);
     let scenario = scenario(&day);
-    let maker = |settings, seed, now| policy("p2c").make(settings, seed, now);
-    let mut world = World::new(&scenario, 5, &maker);
+    let make_decider = |settings, seed, now| policy("p2c").make(settings, seed, now);
+    let mut world = World::new(&scenario, 5, &make_decider);
     while world.step() {}
     world.audit().expect("all accounted for");
     assert_eq!(world.held()[1..], [0, 0, 0], "flows, requests at servers, clients");
--- a/crates/lab/tests/gate.rs
+++ b/crates/lab/tests/gate.rs
@@ -47,10 +47,10 @@
 fn a_policy_that_starves_a_class_or_a_tenant_fails_for_it() {
     let scenario = day("gallery-slow");
     let starved = |class: Option<u16>, tenant: Option<u16>| {
-        let maker = |settings, seed, now| -> Box<dyn cottonpoint_lab::policies::Decider> {
+        let make_decider = |settings, seed, now| -> Box<dyn cottonpoint_lab::policies::Decider> {
             Box::new(StarvingPolicy::new(class.map(ClassId), tenant.map(TenantId), settings, seed, now))
         };
-        held(&scenario, &World::new(&scenario, 1, &maker).play())
+        held(&scenario, &World::new(&scenario, 1, &make_decider).play())
     };
     // full-photo: a seventh to a quarter of the requests, a small part of the worth.
     let lines = starved(Some(1), None);
