--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/draw.rs
@@ -36,25 +36,25 @@
 /// A stream of draws. The generator (xoshiro256++) and the distributions give the same numbers on
 /// every machine.
 #[derive(Clone, Debug)]
-pub struct Draw(Xoshiro256PlusPlus);
+pub struct RandomStream(Xoshiro256PlusPlus);
 
-impl Draw {
+impl RandomStream {
     /// The stream of a seed for a purpose; `index` selects one of many.
-    pub fn new(seed: u64, purpose: Purpose, index: u64) -> Draw {
+    pub fn new(seed: u64, purpose: Purpose, index: u64) -> RandomStream {
         let mut key = [0; 16];
         key[..8].copy_from_slice(&(purpose as u64).to_le_bytes());
         key[8..].copy_from_slice(&index.to_le_bytes());
-        Draw(Xoshiro256PlusPlus::seed_from_u64(xxh3_64_with_seed(&key, seed)))
+        RandomStream(Xoshiro256PlusPlus::seed_from_u64(xxh3_64_with_seed(&key, seed)))
     }
 
     /// Uniform from 0 (included) to 1.
-    pub fn share(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         self.0.random::<f64>()
     }
 
     /// A uniform whole number below `n`, which must be above 0.
-    pub fn below(&mut self, n: usize) -> usize {
-        ((self.share() * n as f64) as usize).min(n.saturating_sub(1))
+    pub fn index_below(&mut self, n: usize) -> usize {
+        ((self.uniform() * n as f64) as usize).min(n.saturating_sub(1))
     }
 
     /// 64 uniform bits.
@@ -64,12 +64,12 @@
 
     /// Uniform from a range.
     pub fn value_in(&mut self, span: ValueRange) -> f64 {
-        span.at(self.share())
+        span.at(self.uniform())
     }
 
     /// Uniform from a range of durations, in nanoseconds.
     pub fn duration_in(&mut self, span: DurationRange) -> u64 {
-        span.at(self.share())
+        span.at(self.uniform())
     }
 
     /// Exponential with the given mean.
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,6 +1,6 @@
 //! Experiments: one run, many runs side by side, and what a paired comparison says.
 
-use crate::draw::{Draw, Purpose};
+use crate::draw::{Purpose, RandomStream};
 use crate::policies::Policy;
 use crate::scenario::Scenario;
 use crate::score::Figures;
@@ -86,9 +86,9 @@
     let n = pairs.len().max(1);
     let mean = |of: &dyn Fn(&(f64, f64)) -> f64| pairs.iter().map(of).sum::<f64>() / n as f64;
     let differences: Vec<f64> = pairs.iter().map(|p| p.0 - p.1).collect();
-    let mut draw = Draw::new(n as u64, Purpose::Bootstrap, 0);
+    let mut draw = RandomStream::new(n as u64, Purpose::Bootstrap, 0);
     let mut means: Vec<f64> = (0..RESAMPLES)
-        .map(|_| (0..differences.len()).map(|_| differences[draw.below(n)]).sum::<f64>() / n as f64)
+        .map(|_| (0..differences.len()).map(|_| differences[draw.index_below(n)]).sum::<f64>() / n as f64)
         .collect();
     means.sort_unstable_by(f64::total_cmp);
     let at = |q: f64| means[((RESAMPLES - 1) as f64 * q).round() as usize];
--- a/crates/lab/src/fleet/plays.rs
+++ b/crates/lab/src/fleet/plays.rs
@@ -3,7 +3,7 @@
 
 use super::setup::{Do, Setup};
 use super::{Disabled, Fleet};
-use crate::draw::{Draw, Purpose};
+use crate::draw::{Purpose, RandomStream};
 use crate::rig::links::{Change, Faults};
 use cottonpoint_peers::{MemberState, PartitionStatus, bounds};
 use std::time::Duration;
@@ -40,14 +40,14 @@
 }
 
 /// A copy whose views are recorded, with its draws for that play.
-fn observed_copy(base: &Fleet, play: u64, disabled: Option<Disabled>) -> (Fleet, Draw) {
+fn observed_copy(base: &Fleet, play: u64, disabled: Option<Disabled>) -> (Fleet, RandomStream) {
     let mut fleet = base.clone();
     let now = fleet.now();
     fleet.at(now, Do::Watch(true));
     if let Some(disabled) = disabled {
         fleet.at(now, Do::Disable(disabled));
     }
-    let draw = Draw::new(base.setup().seed, Purpose::Troubles, play);
+    let draw = RandomStream::new(base.setup().seed, Purpose::Troubles, play);
     (fleet, draw)
 }
 
@@ -64,7 +64,7 @@
 pub fn crash(base: &Fleet, play: u64) -> Vec<u64> {
     let (mut fleet, mut draw) = observed_copy(base, play, None);
     let n = base.setup().members;
-    let (victim, at) = (draw.below(n), fleet.now() + (draw.share() * T as f64) as u64);
+    let (victim, at) = (draw.index_below(n), fleet.now() + (draw.uniform() * T as f64) as u64);
     fleet.at(at, Do::Crash(victim));
     fleet.run(at + bound_nanos(bounds::known_to_all, n) * 3 / 2);
     let mut known = vec![NEVER; n];
@@ -107,7 +107,7 @@
 pub fn one_way(base: &Fleet, disabled: Option<Disabled>) -> u64 {
     let (mut fleet, mut draw) = observed_copy(base, 2, disabled);
     let (n, now) = (base.setup().members, fleet.now());
-    let victim = draw.below(n);
+    let victim = draw.index_below(n);
     // With those left it is a majority: n / 2 + 1 at the least.
     let cut: Vec<usize> = (1..n - n / 2).map(|i| (victim + i) % n).collect();
     let faults = Faults { loss: 0.1, ..base.setup().faults };
@@ -139,7 +139,7 @@
     let (mut fleet, mut draw) = observed_copy(base, 3, disabled);
     let (n, now) = (base.setup().members, fleet.now());
     let mut order: Vec<usize> = (0..n).collect();
-    (1..n).for_each(|i| order.swap(i, draw.below(i + 1)));
+    (1..n).for_each(|i| order.swap(i, draw.index_below(i + 1)));
     let (first, second) = order.split_at(one);
     fleet.at(now, Do::Links(Change::Split(first.to_vec(), second.to_vec())));
     let heal = now + bound_nanos(bounds::known_to_all, n) + 10 * T;
@@ -176,9 +176,9 @@
 pub fn stop(base: &Fleet, time: u64, disabled: Option<Disabled>) -> Stopped {
     let (mut fleet, mut draw) = observed_copy(base, 4, disabled);
     let (n, now) = (base.setup().members, fleet.now());
-    let (first, count) = (draw.below(n), (n / 5).max(1));
+    let (first, count) = (draw.index_below(n), (n / 5).max(1));
     let stopped: Vec<usize> = (0..count).map(|i| (first + i) % n).collect();
-    let from = now + (draw.share() * T as f64) as u64;
+    let from = now + (draw.uniform() * T as f64) as u64;
     for i in &stopped {
         fleet.at(from, Do::Stop(*i));
         fleet.at(from + time, Do::Resume(*i));
@@ -195,7 +195,7 @@
 pub fn flap(base: &Fleet) -> (usize, u64) {
     let (mut fleet, mut draw) = observed_copy(base, 5, None);
     let (n, now) = (base.setup().members, fleet.now());
-    let victim = draw.below(n);
+    let victim = draw.index_below(n);
     let others: Vec<usize> = (0..n).filter(|i| *i != victim).collect();
     for turn in 0..20 {
         let at = now + turn * 3 * T;
@@ -211,7 +211,7 @@
 pub fn restart(base: &Fleet, gap: u64) -> u64 {
     let (mut fleet, mut draw) = observed_copy(base, 6, None);
     let (n, now) = (base.setup().members, fleet.now());
-    let victim = draw.below(n);
+    let victim = draw.index_below(n);
     fleet.at(now, Do::Crash(victim));
     fleet.at(now + gap, Do::Start(victim));
     fleet.run(now + gap + 3 * agreement_bound(n));
--- a/crates/lab/src/fleet/world.rs
+++ b/crates/lab/src/fleet/world.rs
@@ -5,7 +5,7 @@
 use super::log::{Change, Held, Log};
 use super::queue::{EventKind, ScheduledEvent};
 use super::setup::{Do, PacketCounts, SEAL_BYTES, SOCKET_HOLDS, Setup};
-use crate::draw::{Draw, Purpose};
+use crate::draw::{Purpose, RandomStream};
 use crate::rig::links::Links;
 use cottonpoint_decide::Time;
 use cottonpoint_peers::{Action, Event, MemberId, Packet, Peers, Settings, View};
@@ -34,9 +34,9 @@
     by_id: FxHashMap<MemberId, usize>,
     pub(super) links: Links,
     pub(super) packet_counts: Vec<PacketCounts>,
-    draw: Draw,
+    draw: RandomStream,
     /// Draws for packets that are sent again, apart from the others so that the rest goes as it does without.
-    replay_draw: Draw,
+    replay_draw: RandomStream,
     /// Whether views are recorded after each event.
     records_views: bool,
     pub(super) log: Log,
@@ -47,7 +47,7 @@
     /// A fleet of which no process has started.
     pub fn new(setup: Setup) -> Fleet {
         let n = setup.members;
-        let mut draw = Draw::new(setup.seed, Purpose::Fleet, 0);
+        let mut draw = RandomStream::new(setup.seed, Purpose::Fleet, 0);
         let host = |i: usize| Host::new(MemberId(xxh3_64(name(i).as_bytes())), draw.bits() >> 20, n);
         let hosts: Vec<Host> = (0..n).map(host).collect();
         let mut links = Links::new(n, setup.seed);
@@ -60,8 +60,8 @@
             hosts,
             links,
             packet_counts: vec![PacketCounts::default(); n * n],
-            draw: Draw::new(setup.seed, Purpose::Troubles, 0),
-            replay_draw: Draw::new(setup.seed, Purpose::Troubles, 1),
+            draw: RandomStream::new(setup.seed, Purpose::Troubles, 0),
+            replay_draw: RandomStream::new(setup.seed, Purpose::Troubles, 1),
             records_views: false,
             log: Log::default(),
             actions: Vec::new(),
@@ -77,7 +77,7 @@
     /// Has all processes start, each at a moment drawn from within that time after a moment.
     pub fn start_all(&mut self, from: u64, within: u64) {
         for i in 0..self.hosts.len() {
-            let at = from + (self.draw.share() * within as f64) as u64;
+            let at = from + (self.draw.uniform() * within as f64) as u64;
             self.at(at, Do::Start(i));
         }
     }
@@ -170,7 +170,7 @@
             self.deliver_missed_wakes(i);
         }
         // Which of its threads or descriptors comes first is not for it to say.
-        let wake_first = self.draw.share() < 0.5;
+        let wake_first = self.draw.uniform() < 0.5;
         let missed = std::mem::take(&mut self.hosts[i].missed_wake);
         if missed && wake_first {
             self.handle_event(i, Event::Wake);
@@ -254,7 +254,7 @@
             0 => self.counts_of(from, to).dropped += 1,
             copies => self.counts_of(from, to).doubled += copies - 1,
         }
-        if self.setup.again > 0.0 && self.replay_draw.share() < self.setup.again {
+        if self.setup.again > 0.0 && self.replay_draw.uniform() < self.setup.again {
             let after = self.replay_draw.exponential(self.setup.again_after.as_nanos() as f64) as u64;
             self.counts_of(from, to).again += 1;
             self.push(self.now + after, EventKind::Packet { from, to, packet });
--- a/crates/lab/src/live/clients.rs
+++ b/crates/lab/src/live/clients.rs
@@ -2,7 +2,7 @@
 //! the moment at which its request was due to go out.
 
 use super::{Executor, within};
-use crate::draw::{Draw, Purpose};
+use crate::draw::{Purpose, RandomStream};
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http;
@@ -111,12 +111,12 @@
 
     /// Sends so many requests a second, for ever.
     pub async fn run(self: Rc<Self>, executor: Executor, rate: f64, seed: u64) {
-        let mut draw = Draw::new(seed, Purpose::Arrivals, 0);
+        let mut draw = RandomStream::new(seed, Purpose::Arrivals, 0);
         let weights: Vec<f64> = self.classes.iter().map(|c| c.share).collect();
         let mut due = Instant::now();
         loop {
             due += Duration::from_secs_f64(draw.exponential(1.0 / rate));
-            let class = self.classes[crate::world::share_of(&weights, draw.share())];
+            let class = self.classes[crate::world::weighted_index(&weights, draw.uniform())];
             Timer::at(due).await;
             if self.open.get() >= OPEN {
                 more(&self.tally.held_back);
--- a/crates/lab/src/live/server.rs
+++ b/crates/lab/src/live/server.rs
@@ -3,7 +3,7 @@
 
 use super::discovery::{Discovery, Line};
 use super::{CountedIn, Executor};
-use crate::draw::{Draw, Purpose};
+use crate::draw::{Purpose, RandomStream};
 use async_executor::Task;
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
@@ -26,7 +26,7 @@
     discovery: Rc<Discovery>,
     /// How many times faster than others it works.
     speed: f64,
-    draw: RefCell<Draw>,
+    draw: RefCell<RandomStream>,
     /// Its process: the tasks that accept and serve; dropped, its sockets close.
     process: RefCell<Option<Process>>,
     line: RefCell<Option<Line>>,
@@ -53,7 +53,7 @@
             executor: executor.clone(),
             discovery: discovery.clone(),
             speed,
-            draw: RefCell::new(Draw::new(0, Purpose::Attempt, name.bytes().map(u64::from).sum())),
+            draw: RefCell::new(RandomStream::new(0, Purpose::Attempt, name.bytes().map(u64::from).sum())),
             process: RefCell::default(),
             line: RefCell::default(),
             working: Cell::default(),
--- a/crates/lab/src/policies/broken.rs
+++ b/crates/lab/src/policies/broken.rs
@@ -19,7 +19,7 @@
 
 impl RuleBreaker {
     /// A decider that breaks the rule and otherwise behaves as our policy, or, for the rule on cold
-    /// servers, as a policy without a limit.
+    /// endpoints, as a policy without a limit.
     pub fn new(rule: Rule, settings: Settings, seed: u64, now: Time) -> RuleBreaker {
         let mut settings = settings;
         if rule == Rule::NoRepeat {
--- a/crates/lab/src/policies/reference/choose.rs
+++ b/crates/lab/src/policies/reference/choose.rs
@@ -60,7 +60,7 @@
             return None;
         }
         let count = ready.len();
-        let (first, second) = (ready[self.draw.below(count)], ready[self.draw.below(count)]);
+        let (first, second) = (ready[self.draw.index_below(count)], ready[self.draw.index_below(count)]);
         let least = |score: &dyn Fn(usize) -> f64| {
             ready.iter().copied().min_by(|&a, &b| score(a).total_cmp(&score(b)).then(a.cmp(&b)))
         };
@@ -129,7 +129,8 @@
                 let done = |i: usize| self.expected_time(&self.endpoints[i], class, truth);
                 let able: Vec<usize> = ready.iter().copied().filter(|&i| done(i).is_finite()).collect();
                 let draws = DELAYED_STATE_SAMPLES.min(able.len());
-                let drawn: Vec<usize> = (0..draws).map(|_| able[self.draw.below(able.len())]).collect();
+                let drawn: Vec<usize> =
+                    (0..draws).map(|_| able[self.draw.index_below(able.len())]).collect();
                 let done = |i: usize| self.expected_time(&self.endpoints[i], class, truth);
                 drawn.into_iter().min_by(|&a, &b| done(a).total_cmp(&done(b)).then(a.cmp(&b)))
             }
--- a/crates/lab/src/policies/reference/mod.rs
+++ b/crates/lab/src/policies/reference/mod.rs
@@ -10,7 +10,7 @@
 
 use super::limits::{Limit, LimitKind};
 use super::{Decider, Truth};
-use crate::draw::{Draw, Purpose};
+use crate::draw::{Purpose, RandomStream};
 use crate::world::EndpointView;
 pub use choose::Choice;
 use choose::DECAY_S;
@@ -51,7 +51,7 @@
     choice: Choice,
     limit: Limit,
     retry_budget: Option<f64>,
-    draw: Draw,
+    draw: RandomStream,
     endpoints: Vec<EndpointStats>,
     index: FxHashMap<EndpointId, usize>,
     open_requests: FxHashMap<RequestId, OpenRequest>,
@@ -81,7 +81,7 @@
         ReferencePolicy {
             limit: Limit::new(limit),
             retry_budget: budget.then_some(10.0),
-            draw: Draw::new(seed, Purpose::Sidecar, 1),
+            draw: RandomStream::new(seed, Purpose::Sidecar, 1),
             endpoints: Vec::new(),
             index: FxHashMap::default(),
             open_requests: FxHashMap::default(),
@@ -108,7 +108,7 @@
                 continue;
             }
             self.index.insert(e.id, self.endpoints.len());
-            let (virtual_time, offset) = (self.virtual_time, self.draw.share());
+            let (virtual_time, offset) = (self.virtual_time, self.draw.uniform());
             self.endpoints.push(EndpointStats {
                 id: e.id,
                 ready,
--- a/crates/lab/src/rig/links.rs
+++ b/crates/lab/src/rig/links.rs
@@ -4,7 +4,7 @@
 //! Draws come from a stream for each sender, and each datagram takes the same number of them whatever the faults
 //! are, so that a change on one link does not move what happens on the links of other senders.
 
-use crate::draw::{Draw, Purpose};
+use crate::draw::{Purpose, RandomStream};
 use cottonpoint_decide::Time;
 use std::time::Duration;
 
@@ -75,13 +75,14 @@
     members: usize,
     /// By sender, then by receiver.
     links: Vec<Link>,
-    draws: Vec<Draw>,
+    draws: Vec<RandomStream>,
 }
 
 impl Links {
     /// Links without faults among so many members. Equal seeds and equal calls give equal results.
     pub fn new(members: usize, seed: u64) -> Links {
-        let draws = (0..members).map(|i| Draw::new(seed, Purpose::Network, STREAMS_FROM + i as u64));
+        let draws =
+            (0..members).map(|i| RandomStream::new(seed, Purpose::Network, STREAMS_FROM + i as u64));
         Links { members, links: vec![Link::default(); members * members], draws: draws.collect() }
     }
 
@@ -100,10 +101,10 @@
         let Some(at) = self.at(from, to) else { return [None; 2] };
         let (link, draw) = (&mut self.links[at], &mut self.draws[from]);
         let Faults { loss, duplicate, reorder, hold, delay, cut } = link.faults;
-        let [lost, doubled, held] = [loss, duplicate, reorder].map(|share| draw.share() < share);
+        let [lost, doubled, held] = [loss, duplicate, reorder].map(|share| draw.uniform() < share);
         let [first, second] = [(); 2].map(|()| {
             let spread = delay.1.saturating_sub(delay.0).as_nanos() as f64;
-            delay.0.as_nanos() as u64 + (spread * draw.share()) as u64
+            delay.0.as_nanos() as u64 + (spread * draw.uniform()) as u64
         });
         if cut || lost {
             link.counts.dropped += 1;
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -2,7 +2,7 @@
 //! answers, timeouts.
 
 use super::endpoint::Nanos;
-use super::fleet::share_of;
+use super::fleet::weighted_index;
 use super::*;
 use crate::scenario::{Effect, TroubleKind};
 use crate::score::ClientOutcome;
@@ -16,7 +16,7 @@
         let bursts = s.troubles.iter().filter(|t| t.what == TroubleKind::Burst).map(|t| t.size.to.max(1.0));
         let max_rate = self.parameters.rate * (1.0 + s.load.swing) * bursts.fold(1.0, f64::max);
         let gap = self.arrivals_draw.exponential(1.0 / max_rate);
-        let chance = self.arrivals_draw.share();
+        let chance = self.arrivals_draw.uniform();
         if self.now >= s.length.0 {
             return;
         }
@@ -28,18 +28,21 @@
         }
         let number = self.next_client;
         self.next_client += 1;
-        let mut draw = Draw::new(self.seed, Purpose::Request, number);
-        let class = share_of(&self.parameters.class_weights, draw.share());
-        let tenant =
-            if s.tenants.is_empty() { 0 } else { share_of(&self.parameters.tenant_weights, draw.share()) };
+        let mut draw = RandomStream::new(self.seed, Purpose::Request, number);
+        let class = weighted_index(&self.parameters.class_weights, draw.uniform());
+        let tenant = if s.tenants.is_empty() {
+            0
+        } else {
+            weighted_index(&self.parameters.tenant_weights, draw.uniform())
+        };
         let law = s.classes[class].law;
         let work = self.parameters.class_work[class] * draw.mean_one(law, self.parameters.class_cv[class]);
         let give_up = s.classes[class].give_up.0;
-        let varies = 1.0 + s.clients.try_varies * (2.0 * draw.share() - 1.0);
+        let varies = 1.0 + s.clients.try_varies * (2.0 * draw.uniform() - 1.0);
         let timeout = (give_up as f64 * (self.parameters.try_share * varies).min(1.0)) as Nanos;
         let leaves_at =
-            (draw.share() < s.clients.impatient).then(|| (timeout as f64 * draw.share()) as Nanos);
-        let honours_retry_after = draw.share() < s.clients.honour;
+            (draw.uniform() < s.clients.impatient).then(|| (timeout as f64 * draw.uniform()) as Nanos);
+        let honours_retry_after = draw.uniform() < s.clients.honour;
         let over_quota = self.exceeds_quota(tenant);
         let client = Client {
             number,
@@ -105,7 +108,7 @@
         }
         let deadline = self.now + c.timeout;
         let leaves_at = c.leaves_at.filter(|_| try_no == 1);
-        let sidecar = self.network_draw.below(self.first_tier_sidecars) as u32;
+        let sidecar = self.network_draw.index_below(self.first_tier_sidecars) as u32;
         let delay = self.delay(self.scenario.network.client.0);
         if !self.sidecars[sidecar as usize].alive {
             let answer = Answer::Unreachable;
@@ -294,7 +297,7 @@
             Effect::Unsafe => no_effect,
         };
         let s = self.scenario;
-        let mut draw = Draw::new(self.seed, Purpose::Request, number ^ (u64::from(try_no) << 48));
+        let mut draw = RandomStream::new(self.seed, Purpose::Request, number ^ (u64::from(try_no) << 48));
         let mut backoff = draw.duration_in(s.clients.backoff);
         if let Answer::Refused(Some(advice)) = answer
             && c.honours_retry_after
--- a/crates/lab/src/world/deciders.rs
+++ b/crates/lab/src/world/deciders.rs
@@ -50,7 +50,7 @@
 
     pub(super) fn delay(&mut self, mean: u64) -> Nanos {
         let jitter = self.scenario.network.jitter;
-        (mean as f64 * (1.0 + jitter * (2.0 * self.network_draw.share() - 1.0))) as Nanos
+        (mean as f64 * (1.0 + jitter * (2.0 * self.network_draw.uniform() - 1.0))) as Nanos
     }
 
     pub(super) fn one_way(&mut self) -> Nanos {
--- a/crates/lab/src/world/fleet.rs
+++ b/crates/lab/src/world/fleet.rs
@@ -2,12 +2,12 @@
 
 use super::DrawnParameters;
 use super::endpoint::{CrowdingSpec, EmulatedEndpoint, EndpointSpec};
-use crate::draw::Draw;
+use crate::draw::RandomStream;
 use crate::scenario::{Effect, Kind, Scenario};
 use cottonpoint_decide as decide;
 
 /// Draws the endpoints of all tiers and the parameters of the run.
-pub(super) fn draw(s: &Scenario, draw: &mut Draw) -> (Vec<EmulatedEndpoint>, DrawnParameters) {
+pub(super) fn draw(s: &Scenario, draw: &mut RandomStream) -> (Vec<EmulatedEndpoint>, DrawnParameters) {
     let class_weights: Vec<f64> = s.classes.iter().map(|c| draw.value_in(c.share)).collect();
     let class_work: Vec<f64> = s.classes.iter().map(|c| draw.duration_in(c.work) as f64 / 1e9).collect();
     let class_cv: Vec<f64> = s.classes.iter().map(|c| draw.value_in(c.cv)).collect();
@@ -28,7 +28,7 @@
             tier.kinds.iter().enumerate().map(|(k, kind)| draw_spec(t, k, kind, draw)).collect();
         let mut capacity = 0.0;
         for i in 0..count {
-            let k = share_of(&weights, (i as f64 + 0.5) / count as f64);
+            let k = weighted_index(&weights, (i as f64 + 0.5) / count as f64);
             let cv = draw.value_in(tier.kinds[k].speed_cv);
             let mut spec = specs[k].clone();
             spec.speed = speeds[k] * draw.around_one(cv);
@@ -68,7 +68,7 @@
 }
 
 /// The index of the weight that a share (0 to 1) of their sum falls into.
-pub fn share_of(weights: &[f64], share: f64) -> usize {
+pub fn weighted_index(weights: &[f64], share: f64) -> usize {
     let mut left = share * weights.iter().sum::<f64>();
     for (i, w) in weights.iter().enumerate() {
         left -= w;
@@ -79,7 +79,7 @@
     weights.len().saturating_sub(1)
 }
 
-fn draw_spec(tier: usize, number: usize, kind: &Kind, draw: &mut Draw) -> EndpointSpec {
+fn draw_spec(tier: usize, number: usize, kind: &Kind, draw: &mut RandomStream) -> EndpointSpec {
     let cores = f64::from(kind.cores);
     EndpointSpec {
         tier,
--- a/crates/lab/src/world/lifecycle.rs
+++ b/crates/lab/src/world/lifecycle.rs
@@ -43,7 +43,7 @@
             _ => self.registry[tier - 1].len() as u32,
         };
         let stream = u64::from(number) | u64::from(process) << 32;
-        let seed = Draw::new(self.seed, Purpose::Sidecar, stream).bits();
+        let seed = RandomStream::new(self.seed, Purpose::Sidecar, stream).bits();
         (self.make_decider)(settings, seed, decider_time(self.now))
     }
 
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -22,11 +22,11 @@
 
 use calendar::{Answer, EventCalendar, SimEvent};
 pub use delayed_view::EndpointView;
-pub use fleet::share_of;
+pub use fleet::weighted_index;
 pub use result::RunResult;
 pub use rules::{Breach, Rule, tolerated_requests};
 
-use crate::draw::{Draw, Purpose};
+use crate::draw::{Purpose, RandomStream};
 use crate::policies::{Decider, Truth};
 use crate::scenario::Scenario;
 use crate::score::RunStatistics;
@@ -210,10 +210,10 @@
     requests: SlotMap<RequestKey, OpenRequest>,
     jobs: SlotMap<JobKey, Job>,
     clients: SlotMap<ClientKey, Client>,
-    arrivals_draw: Draw,
-    network_draw: Draw,
-    listing_draw: Draw,
-    noise_draw: Draw,
+    arrivals_draw: RandomStream,
+    network_draw: RandomStream,
+    listing_draw: RandomStream,
+    noise_draw: RandomStream,
     parameters: DrawnParameters,
     quotas: Vec<(f64, Nanos)>,
     next_client: u64,
@@ -253,7 +253,7 @@
 impl<'a> World<'a> {
     /// A run that has not begun. `make_decider` makes the decider of each sidecar.
     pub fn new(scenario: &'a Scenario, seed: u64, make_decider: DeciderFactory<'a>) -> World<'a> {
-        let mut fleet = Draw::new(seed, Purpose::Fleet, 0);
+        let mut fleet = RandomStream::new(seed, Purpose::Fleet, 0);
         let (endpoints, parameters) = fleet::draw(scenario, &mut fleet);
         let tiers = scenario.tiers.len();
         let mut world = World {
@@ -277,10 +277,10 @@
             requests: SlotMap::with_key(),
             jobs: SlotMap::with_key(),
             clients: SlotMap::with_key(),
-            arrivals_draw: Draw::new(seed, Purpose::Arrivals, 0),
-            network_draw: Draw::new(seed, Purpose::Network, 0),
-            listing_draw: Draw::new(seed, Purpose::Discovery, 0),
-            noise_draw: Draw::new(seed, Purpose::Reports, 0),
+            arrivals_draw: RandomStream::new(seed, Purpose::Arrivals, 0),
+            network_draw: RandomStream::new(seed, Purpose::Network, 0),
+            listing_draw: RandomStream::new(seed, Purpose::Discovery, 0),
+            noise_draw: RandomStream::new(seed, Purpose::Reports, 0),
             parameters,
             next_client: 0,
             active_outages: 0,
--- a/crates/lab/src/world/spec.rs
+++ b/crates/lab/src/world/spec.rs
@@ -57,10 +57,10 @@
 
 impl CrowdingSpec {
     /// Draws the values of one endpoint.
-    pub fn draw(c: &Crowding, draw: &mut crate::draw::Draw) -> CrowdingSpec {
+    pub fn draw(c: &Crowding, draw: &mut crate::draw::RandomStream) -> CrowdingSpec {
         // One draw for all values, so that an endpoint is mild or severe in every respect, and
         // values that belong together (a low threshold with a short time) stay together.
-        let share = draw.share();
+        let share = draw.uniform();
         CrowdingSpec {
             queue_per_core: c.waiting.at(share),
             begins_after: c.over.at(share),
--- a/crates/lab/src/world/troubles.rs
+++ b/crates/lab/src/world/troubles.rs
@@ -9,7 +9,7 @@
     pub(super) fn schedule_troubles(&mut self) {
         for (i, t) in self.scenario.troubles.iter().enumerate() {
             let number = i as u32;
-            let mut draw = Draw::new(self.seed, Purpose::Troubles, u64::from(number));
+            let mut draw = RandomStream::new(self.seed, Purpose::Troubles, u64::from(number));
             let begins = draw.duration_in(t.at);
             let ends = begins + draw.duration_in(t.length);
             self.schedule(begins, SimEvent::Trouble { number, begins: true });
@@ -18,7 +18,7 @@
     }
 
     /// The endpoints that a trouble affects: a share of those that are up, at least one.
-    fn choose_affected(&self, t: &Trouble, draw: &mut Draw) -> Vec<u32> {
+    fn choose_affected(&self, t: &Trouble, draw: &mut RandomStream) -> Vec<u32> {
         let up = |s: &u32| {
             self.endpoints[*s as usize].spec.tier == t.tier
                 && self.endpoints[*s as usize].process_state == ProcessState::Up
@@ -31,7 +31,7 @@
         let scenario = self.scenario;
         let Some(t) = scenario.troubles.get(number as usize) else { return };
         // The end repeats the draws of the beginning.
-        let mut draw = Draw::new(self.seed, Purpose::Troubles, u64::from(number));
+        let mut draw = RandomStream::new(self.seed, Purpose::Troubles, u64::from(number));
         let (_, length) = (draw.duration_in(t.at), draw.duration_in(t.length));
         let size = draw.value_in(t.size);
         if begins {
@@ -61,7 +61,7 @@
         affected: &[u32],
         size: f64,
         length: Nanos,
-        draw: &mut Draw,
+        draw: &mut RandomStream,
     ) {
         match t.what {
             TroubleKind::Slow => self.change_endpoints(affected, |s| s.slowdown *= size),
@@ -219,11 +219,11 @@
 }
 
 /// Chooses a share of the elements, at least one, in the order of the draws (Fisher-Yates shuffle).
-fn choose(mut from: Vec<u32>, share: f64, draw: &mut Draw) -> Vec<u32> {
+fn choose(mut from: Vec<u32>, share: f64, draw: &mut RandomStream) -> Vec<u32> {
     let count =
         ((share * from.len() as f64).round() as usize).clamp(usize::from(!from.is_empty()), from.len());
     for i in 0..count {
-        let j = i + draw.below(from.len() - i);
+        let j = i + draw.index_below(from.len() - i);
         from.swap(i, j);
     }
     from.truncate(count);
--- a/crates/lab/src/world/work.rs
+++ b/crates/lab/src/world/work.rs
@@ -119,14 +119,14 @@
         let f = &self.requests[request];
         let tier = self.endpoints[endpoint as usize].spec.tier;
         let key = child_key(f.key, u64::from(attempt));
-        let mut draw = Draw::new(self.seed, Purpose::Attempt, key);
+        let mut draw = RandomStream::new(self.seed, Purpose::Attempt, key);
         let noise = self.parameters.class_noise[usize::from(f.class)];
         let tier_settings = &self.scenario.tiers[tier];
         let own_work = f.work
             * tier_settings.work
             * draw.mean_one(crate::scenario::WorkDistribution::Lognormal, noise);
         let calls = self.parameters.calls[tier];
-        let calls = calls.floor() + f64::from(u8::from(draw.share() < calls.fract()));
+        let calls = calls.floor() + f64::from(u8::from(draw.uniform() < calls.fract()));
         let handshake =
             if new_connection { tier_settings.connections.handshake_work.seconds() } else { 0.0 };
         // Half of an endpoint's own work is done before its calls and half after them.
@@ -207,8 +207,8 @@
             return self.send_answer(key, Outcome::Rejected, 0);
         }
         let error_share = s.error_share.max(s.spec.error_rate);
-        let mut error_draw = Draw::new(self.seed, Purpose::Attempt, !self.jobs[key].key);
-        if error_share > 0.0 && error_draw.share() < error_share {
+        let mut error_draw = RandomStream::new(self.seed, Purpose::Attempt, !self.jobs[key].key);
+        if error_share > 0.0 && error_draw.uniform() < error_share {
             return self.send_answer(key, Outcome::Error, ERROR_RESPONSE_TIME_NS);
         }
         let s = &mut self.endpoints[endpoint as usize];
