--- a/crates/lab/src/prove/lab/mod.rs
+++ b/crates/lab/src/prove/lab/mod.rs
@@ -147,7 +147,7 @@
         }
     }
     let end = world.audit().err();
-    let left = world.held();
+    let left = world.open_counts();
     let open =
         (left[1] + left[2] + left[3] > 0).then(|| format!("seed {seed}: left open at the end: {left:?}"));
     (events, audits + 1, end.or(open))
@@ -279,7 +279,7 @@
         let mut world = World::new(&scenario, 1, &make_decider);
         let (mut most, mut quarter, mut by_quarter) = (0, 0, Vec::new());
         while world.step() {
-            most = most.max(world.held().iter().sum::<usize>());
+            most = most.max(world.open_counts().iter().sum::<usize>());
             if world.now() >= (quarter + 1) * 900_000_000_000 && quarter < 4 {
                 by_quarter.push(std::mem::take(&mut most));
                 quarter += 1;
--- a/crates/lab/src/world/result.rs
+++ b/crates/lab/src/world/result.rs
@@ -39,7 +39,7 @@
 
     /// Scheduled events, requests at sidecars, requests at endpoints and clients held in memory
     /// now.
-    pub fn held(&self) -> [usize; 4] {
+    pub fn open_counts(&self) -> [usize; 4] {
         [self.calendar.keys.len(), self.requests.len(), self.jobs.len(), self.clients.len()]
     }
 
--- a/crates/lab/tests/emulator.rs
+++ b/crates/lab/tests/emulator.rs
@@ -120,7 +120,7 @@
     let mut world = World::new(&scenario, 5, &make_decider);
     while world.step() {}
     world.audit().expect("all accounted for");
-    assert_eq!(world.held()[1..], [0, 0, 0], "flows, requests at servers, clients");
+    assert_eq!(world.open_counts()[1..], [0, 0, 0], "flows, requests at servers, clients");
     let statistics = world.into_result().statistics;
     assert!(
         statistics.outcomes[0][5] > 0 && statistics.outcomes[1][5] > 0,
