--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -174,14 +174,17 @@
     for (t, tier) in scenario.tiers.iter().enumerate() {
         let mut rows: Vec<_> = statistics.servers.iter().filter(|s| s.tier == t).collect();
         rows.sort_by(|a, b| a.capacity.total_cmp(&b.capacity));
-        let day = scenario.length.seconds();
+        let run_seconds = scenario.length.seconds();
         let at = |of: &dyn Fn(&crate::score::ServerRow) -> f64| -> Vec<(f64, f64)> {
             rows.iter().enumerate().map(|(i, s)| (i as f64, of(s))).collect()
         };
         body += &lines(
             &format!("{}: load of each server against its capacity", tier.name),
             "servers by capacity",
-            &[("capacity".into(), at(&|s| s.capacity)), ("mean load".into(), at(&|s| s.worked / day))],
+            &[
+                ("capacity".into(), at(&|s| s.capacity)),
+                ("mean load".into(), at(&|s| s.worked / run_seconds)),
+            ],
         );
     }
     let worth = |names: Vec<String>, worth: &[crate::score::Worth]| {
--- a/crates/lab/tests/emulator.rs
+++ b/crates/lab/tests/emulator.rs
@@ -22,10 +22,10 @@
     /// Guards against requests or work that are lost or invented, under every trouble and any
     /// policy.
     #[test]
-    fn requests_and_work_are_conserved(seed in 0_u64..10_000, which in 0_usize..4) {
-        let policy = policy(["ours", "p2c+gradient", "wrr+aimd+budget", "top"][which]);
-        let (events, audits, wrong) = conserve(seed, policy, 200);
-        prop_assert_eq!(wrong, None);
+    fn requests_and_work_are_conserved(seed in 0_u64..10_000, policy_index in 0_usize..4) {
+        let policy = policy(["ours", "p2c+gradient", "wrr+aimd+budget", "top"][policy_index]);
+        let (events, audits, difference) = conserve(seed, policy, 200);
+        prop_assert_eq!(difference, None);
         prop_assert!(events > 1000 && audits > 5);
     }
 }
@@ -93,7 +93,7 @@
     assert!(in_time.arrived > 500);
     assert_eq!((in_time.served, in_time.failed + in_time.refused), (in_time.arrived, 0));
     let too_late = at("10000001ns");
-    assert_eq!(too_late.served, 0, "one nanosecond later it is not");
+    assert_eq!(too_late.served, 0, "an answer one nanosecond after the timeout is too late");
 }
 
 /// Guards against calls to lower tiers that outlive the endpoint that made them, or are not
@@ -108,19 +108,19 @@
     let dies = |tier: u32, at: u32| {
         format!("[[trouble]]\nwhat = \"die\"\ntier = {tier}\npart = 0.5\nat = \"{at}ms\"\nfor = \"2s\"\n")
     };
-    let day = exact("200ms", "2s").split("[[tier]]").next().unwrap_or_default().to_owned()
+    let scenario_text = exact("200ms", "2s").split("[[tier]]").next().unwrap_or_default().to_owned()
         + &tier("front", "sidecars = 2\ncalls = 2\n")
         + &tier("middle", "calls = 2\n")
         + &tier("back", "")
         + &dies(0, 3000)
         + &dies(1, 5000)
         + &dies(2, 7000);
-    let scenario = scenario(&day);
+    let scenario = scenario(&scenario_text);
     let make_decider = |settings, seed, now| policy("p2c").make(settings, seed, now);
     let mut world = World::new(&scenario, 5, &make_decider);
     while world.step() {}
-    world.audit().expect("all accounted for");
-    assert_eq!(world.open_counts()[1..], [0, 0, 0], "flows, requests at servers, clients");
+    world.audit().expect("all clients and work are accounted for");
+    assert_eq!(world.open_counts()[1..], [0, 0, 0], "requests at sidecars, requests at endpoints, clients");
     let statistics = world.into_result().statistics;
     assert!(
         statistics.outcomes[0][5] > 0 && statistics.outcomes[1][5] > 0,
@@ -132,7 +132,8 @@
 /// not reproducible.
 #[test]
 fn equal_seeds_give_equal_runs_and_equal_load_for_every_policy() {
-    let text = std::fs::read_to_string("../../lab/scenarios/gallery-deploy.toml").expect("it is shipped");
+    let text = std::fs::read_to_string("../../lab/scenarios/gallery-deploy.toml")
+        .expect("shipped with the project");
     let scenario = scenario(&text);
     let ours = || play(&scenario, 3, Policy::Ours);
     let (first, second, reference) = (ours(), ours(), play(&scenario, 3, policy("random")));
--- a/crates/lab/tests/scenarios.rs
+++ b/crates/lab/tests/scenarios.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 
 fn calm() -> String {
-    std::fs::read_to_string("../../lab/scenarios/gallery-calm.toml").expect("it is shipped")
+    std::fs::read_to_string("../../lab/scenarios/gallery-calm.toml").expect("shipped with the project")
 }
 
 #[test]
@@ -18,7 +18,7 @@
     let folders =
         ["../../lab/scenarios", "../../lab/hunted"].map(|f| std::fs::read_dir(f).expect("shipped"));
     for entry in folders.into_iter().flatten() {
-        let path = entry.expect("a folder that can be read").path();
+        let path = entry.expect("a readable directory").path();
         if path.ends_with("kept.toml") {
             continue;
         }
@@ -33,7 +33,7 @@
 #[test]
 fn fault_message_names_file_line_and_key() {
     let calm = calm();
-    let mut said = String::new();
+    let mut messages = String::new();
     for (from, to) in [
         ("length = \"40s\"", "length = 40"),
         ("length = \"40s\"", "length = \"40 parsecs\""),
@@ -51,11 +51,11 @@
         assert!(calm.contains(from), "{from}");
         let fault = Scenario::parse("calm.toml", &calm.replacen(from, to, 1)).expect_err(to).to_string();
         assert_eq!(fault.lines().count(), 1, "{fault}");
-        said += &format!("{fault}\n");
+        messages += &format!("{fault}\n");
     }
     let trouble = calm.clone() + "\n[[trouble]]\nwhat = \"slow\"\nat = \"1s\"\nfor = \"2s\"\ntier = 3\n";
-    said += &Scenario::parse("calm.toml", &trouble).expect_err("no such tier").to_string();
-    assert_snapshot!(said);
+    messages += &Scenario::parse("calm.toml", &trouble).expect_err("no such tier").to_string();
+    assert_snapshot!(messages);
 }
 
 /// Guards against a stored run that is lost or duplicated, and a damaged store that is read as an
