--- a/crates/lab/src/commands/mod.rs
+++ b/crates/lab/src/commands/mod.rs
@@ -119,9 +119,9 @@
 fn run(day: &Day, form: Form) -> CommandResult<bool> {
     let loaded = load_scenario(&day.scenario, &day.set)?;
     let policy: Policy = day.policy.parse()?;
-    let played = experiment::play(&loaded.scenario, day.seed, policy);
-    let breaches = played.breaches.clone();
-    let outcome = Outcome::from(played);
+    let result = experiment::play(&loaded.scenario, day.seed, policy);
+    let breaches = result.breaches.clone();
+    let outcome = Outcome::from(result);
     let run = stored_run(&loaded, day.seed, policy, outcome.clone());
     store_runs(vec![run.clone()])?;
     if form.json {
@@ -138,11 +138,11 @@
 fn write_report(day: &Day, out: &Path) -> CommandResult<bool> {
     let loaded = load_scenario(&day.scenario, &day.set)?;
     let policy: Policy = day.policy.parse()?;
-    let played = experiment::play(&loaded.scenario, day.seed, policy);
+    let result = experiment::play(&loaded.scenario, day.seed, policy);
     if let Some(folder) = out.parent() {
         fs::create_dir_all(folder)?;
     }
-    fs::write(out, report::page(&loaded.scenario, day.seed, &policy.to_string(), &played))?;
+    fs::write(out, report::page(&loaded.scenario, day.seed, &policy.to_string(), &result))?;
     println!("{}", out.display());
     Ok(true)
 }
@@ -151,11 +151,13 @@
     let loaded = load_scenario(&day.scenario, &day.set)?;
     let policy: Policy = day.policy.parse()?;
     let make_decider = move |settings, seed, now| policy.make(settings, seed, now);
-    let played = World::new(&loaded.scenario, day.seed, &make_decider).trace(client).play();
-    if played.trace.is_empty() {
-        return Err(format!("there is no client {client}: {} clients arrived", played.book.arrived).into());
+    let result = World::new(&loaded.scenario, day.seed, &make_decider).trace(client).play();
+    if result.trace.is_empty() {
+        return Err(
+            format!("there is no client {client}: {} clients arrived", result.statistics.arrived).into()
+        );
     }
-    played.trace.iter().for_each(|line| println!("{line}"));
+    result.trace.iter().for_each(|line| println!("{line}"));
     Ok(true)
 }
 
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,16 +1,16 @@
 //! Experiments: single runs, many runs in parallel, and paired comparisons of their scores.
 
-use crate::draw::{Draw, Purpose};
+use crate::draw::{Purpose, RandomStream};
 use crate::policies::Policy;
 use crate::scenario::Scenario;
 use crate::score::Figures;
-use crate::world::{Played, World};
+use crate::world::{RunResult, World};
 use indicatif::{ParallelProgressIterator, ProgressBar, ProgressStyle};
 use rayon::prelude::*;
 use serde::Serialize;
 
 /// Simulates one run of a scenario with a seed and a policy.
-pub fn play(scenario: &Scenario, seed: u64, policy: Policy) -> Played {
+pub fn play(scenario: &Scenario, seed: u64, policy: Policy) -> RunResult {
     let make_decider = move |settings, seed, now| policy.make(settings, seed, now);
     World::new(scenario, seed, &make_decider).play()
 }
@@ -37,12 +37,12 @@
     pub first_breach: Option<String>,
 }
 
-impl From<Played> for Outcome {
-    fn from(played: Played) -> Outcome {
+impl From<RunResult> for Outcome {
+    fn from(result: RunResult) -> Outcome {
         Outcome {
-            figures: played.book.figures(),
-            breaches: played.breach_count.iter().sum(),
-            first_breach: played.breaches.first().map(ToString::to_string),
+            figures: result.statistics.figures(),
+            breaches: result.breach_count.iter().sum(),
+            first_breach: result.breaches.first().map(ToString::to_string),
         }
     }
 }
@@ -88,9 +88,9 @@
     let n = pairs.len().max(1);
     let mean = |of: &dyn Fn(&(f64, f64)) -> f64| pairs.iter().map(of).sum::<f64>() / n as f64;
     let differences: Vec<f64> = pairs.iter().map(|p| p.0 - p.1).collect();
-    let mut draw = Draw::new(n as u64, Purpose::Bootstrap, 0);
+    let mut draw = RandomStream::new(n as u64, Purpose::Bootstrap, 0);
     let mut means: Vec<f64> = (0..RESAMPLES)
-        .map(|_| (0..differences.len()).map(|_| differences[draw.below(n)]).sum::<f64>() / n as f64)
+        .map(|_| (0..differences.len()).map(|_| differences[draw.index_below(n)]).sum::<f64>() / n as f64)
         .collect();
     means.sort_unstable_by(f64::total_cmp);
     let quantile = |q: f64| means[((RESAMPLES - 1) as f64 * q).round() as usize];
--- a/crates/lab/src/fleet/experiments.rs
+++ b/crates/lab/src/fleet/experiments.rs
@@ -3,7 +3,7 @@
 
 use super::setup::{Operation, Setup};
 use super::{Disabled, Fleet};
-use crate::draw::{Draw, Purpose};
+use crate::draw::{Purpose, RandomStream};
 use crate::rig::links::{Faults, LinkChange};
 use cottonpoint_peers::{MemberState, PartitionStatus, bounds};
 use std::time::Duration;
@@ -44,14 +44,14 @@
 
 /// Copies a fleet and records the views of the copy. Returns it with the random draws of that
 /// experiment.
-fn observed_copy(base: &Fleet, experiment: u64, disabled: Option<Disabled>) -> (Fleet, Draw) {
+fn observed_copy(base: &Fleet, experiment: u64, disabled: Option<Disabled>) -> (Fleet, RandomStream) {
     let mut fleet = base.clone();
     let now = fleet.now();
     fleet.schedule(now, Operation::RecordViews(true));
     if let Some(disabled) = disabled {
         fleet.schedule(now, Operation::Disable(disabled));
     }
-    let draw = Draw::new(base.setup().seed, Purpose::Troubles, experiment);
+    let draw = RandomStream::new(base.setup().seed, Purpose::Troubles, experiment);
     (fleet, draw)
 }
 
@@ -68,7 +68,7 @@
 pub fn crash_detection_times(base: &Fleet, experiment: u64) -> Vec<u64> {
     let (mut fleet, mut draw) = observed_copy(base, experiment, None);
     let n = base.setup().members;
-    let (victim, at) = (draw.below(n), fleet.now() + (draw.share() * T as f64) as u64);
+    let (victim, at) = (draw.index_below(n), fleet.now() + (draw.uniform() * T as f64) as u64);
     fleet.schedule(at, Operation::Crash(victim));
     fleet.run_until(at + bound_nanos(bounds::known_to_all, n) * 3 / 2);
     let mut known = vec![NEVER; n];
@@ -116,7 +116,7 @@
 pub fn one_way_cut(base: &Fleet, disabled: Option<Disabled>) -> u64 {
     let (mut fleet, mut draw) = observed_copy(base, 2, disabled);
     let (n, now) = (base.setup().members, fleet.now());
-    let victim = draw.below(n);
+    let victim = draw.index_below(n);
     // With the members left it is in a majority: at least n / 2 + 1.
     let cut: Vec<usize> = (1..n - n / 2).map(|i| (victim + i) % n).collect();
     let faults = Faults { loss: 0.1, ..base.setup().faults };
@@ -150,7 +150,7 @@
     let (mut fleet, mut draw) = observed_copy(base, 3, disabled);
     let (n, now) = (base.setup().members, fleet.now());
     let mut order: Vec<usize> = (0..n).collect();
-    (1..n).for_each(|i| order.swap(i, draw.below(i + 1)));
+    (1..n).for_each(|i| order.swap(i, draw.index_below(i + 1)));
     let (first, second) = order.split_at(first_side_members);
     fleet.schedule(now, Operation::Links(LinkChange::Split(first.to_vec(), second.to_vec())));
     let heal = now + bound_nanos(bounds::known_to_all, n) + 10 * T;
@@ -188,9 +188,9 @@
 pub fn pause_members(base: &Fleet, time: u64, disabled: Option<Disabled>) -> PauseOutcome {
     let (mut fleet, mut draw) = observed_copy(base, 4, disabled);
     let (n, now) = (base.setup().members, fleet.now());
-    let (first, count) = (draw.below(n), (n / 5).max(1));
+    let (first, count) = (draw.index_below(n), (n / 5).max(1));
     let paused: Vec<usize> = (0..count).map(|i| (first + i) % n).collect();
-    let from = now + (draw.share() * T as f64) as u64;
+    let from = now + (draw.uniform() * T as f64) as u64;
     for i in &paused {
         fleet.schedule(from, Operation::Pause(*i));
         fleet.schedule(from + time, Operation::Resume(*i));
@@ -208,7 +208,7 @@
 pub fn flap_links(base: &Fleet) -> (usize, u64) {
     let (mut fleet, mut draw) = observed_copy(base, 5, None);
     let (n, now) = (base.setup().members, fleet.now());
-    let victim = draw.below(n);
+    let victim = draw.index_below(n);
     let others: Vec<usize> = (0..n).filter(|i| *i != victim).collect();
     for turn in 0..20 {
         let at = now + turn * 3 * T;
@@ -225,7 +225,7 @@
 pub fn restart_member(base: &Fleet, gap: u64) -> u64 {
     let (mut fleet, mut draw) = observed_copy(base, 6, None);
     let (n, now) = (base.setup().members, fleet.now());
-    let victim = draw.below(n);
+    let victim = draw.index_below(n);
     fleet.schedule(now, Operation::Crash(victim));
     fleet.schedule(now + gap, Operation::Start(victim));
     fleet.run_until(now + gap + 3 * agreement_bound(n));
--- a/crates/lab/src/fleet/simulation.rs
+++ b/crates/lab/src/fleet/simulation.rs
@@ -5,7 +5,7 @@
 use super::log::{Log, MemberView, ViewChange};
 use super::queue::{EventKind, ScheduledEvent};
 use super::setup::{Operation, PacketCounts, SEAL_BYTES, SOCKET_QUEUE_PACKETS, Setup};
-use crate::draw::{Draw, Purpose};
+use crate::draw::{Purpose, RandomStream};
 use crate::rig::links::Links;
 use cottonpoint_decide::Time;
 use cottonpoint_peers::{Action, Event, MemberId, Packet, Peers, Settings, View};
@@ -35,10 +35,10 @@
     by_id: FxHashMap<MemberId, usize>,
     pub(super) links: Links,
     pub(super) packet_counts: Vec<PacketCounts>,
-    draw: Draw,
+    draw: RandomStream,
     /// Random draws for replayed packets, separate from the others so that replays do not change
     /// the rest of a run.
-    replay_draw: Draw,
+    replay_draw: RandomStream,
     /// Whether views are recorded after each event.
     records_views: bool,
     pub(super) log: Log,
@@ -49,7 +49,7 @@
     /// Creates a fleet in which no process has started.
     pub fn new(setup: Setup) -> Fleet {
         let n = setup.members;
-        let mut draw = Draw::new(setup.seed, Purpose::Fleet, 0);
+        let mut draw = RandomStream::new(setup.seed, Purpose::Fleet, 0);
         let host = |i: usize| Host::new(MemberId(xxh3_64(name(i).as_bytes())), draw.bits() >> 20, n);
         let hosts: Vec<Host> = (0..n).map(host).collect();
         let mut links = Links::new(n, setup.seed);
@@ -62,8 +62,8 @@
             hosts,
             links,
             packet_counts: vec![PacketCounts::default(); n * n],
-            draw: Draw::new(setup.seed, Purpose::Troubles, 0),
-            replay_draw: Draw::new(setup.seed, Purpose::Troubles, 1),
+            draw: RandomStream::new(setup.seed, Purpose::Troubles, 0),
+            replay_draw: RandomStream::new(setup.seed, Purpose::Troubles, 1),
             records_views: false,
             log: Log::default(),
             actions: Vec::new(),
@@ -81,7 +81,7 @@
     /// within`.
     pub fn start_all(&mut self, from: u64, within: u64) {
         for i in 0..self.hosts.len() {
-            let at = from + (self.draw.share() * within as f64) as u64;
+            let at = from + (self.draw.uniform() * within as f64) as u64;
             self.schedule(at, Operation::Start(i));
         }
     }
@@ -178,7 +178,7 @@
         }
         // The order in which a resumed process sees its timer and its socket is not under its
         // control.
-        let wake_first = self.draw.share() < 0.5;
+        let wake_first = self.draw.uniform() < 0.5;
         let missed = std::mem::take(&mut self.hosts[i].missed_wake);
         if missed && wake_first {
             self.handle_event(i, Event::Wake);
@@ -268,7 +268,7 @@
             0 => self.counts_of(from, to).dropped += 1,
             copies => self.counts_of(from, to).duplicated += copies - 1,
         }
-        if self.setup.replay_share > 0.0 && self.replay_draw.share() < self.setup.replay_share {
+        if self.setup.replay_share > 0.0 && self.replay_draw.uniform() < self.setup.replay_share {
             let after = self.replay_draw.exponential(self.setup.replay_delay.as_nanos() as f64) as u64;
             self.counts_of(from, to).replayed += 1;
             self.push(self.now + after, EventKind::Packet { from, to, packet });
--- a/crates/lab/src/gate.rs
+++ b/crates/lab/src/gate.rs
@@ -14,9 +14,9 @@
 
 use crate::experiment::play;
 use crate::policies::Policy;
-use crate::scenario::{Effect, Scenario, What};
+use crate::scenario::{Effect, Scenario, TroubleKind};
 use crate::score::Worth;
-use crate::world::Played;
+use crate::world::RunResult;
 use rayon::prelude::*;
 use serde::Serialize;
 
@@ -63,13 +63,18 @@
 
 /// Judges a run of a policy against runs of the reference policy and of the baseline policy with the same scenario
 /// and seed.
-pub fn judge(scenario: &Scenario, ours: &Played, late: &Played, baseline: &Played) -> Vec<Criterion> {
-    let whole = |p: &Played| p.book.figures().whole;
+pub fn judge(
+    scenario: &Scenario,
+    ours: &RunResult,
+    late: &RunResult,
+    baseline: &RunResult,
+) -> Vec<Criterion> {
+    let whole = |p: &RunResult| p.statistics.figures().whole;
     let mut wanted = MIN_RATIO * whole(late);
-    if scenario.troubles.iter().all(|t| t.what == What::Burst) {
+    if scenario.troubles.iter().all(|t| t.what == TroubleKind::Burst) {
         wanted = wanted.max((whole(baseline) - CALM_MARGINS.0).min(whole(late) - CALM_MARGINS.1));
     }
-    let keeps_rules = |p: &Played| if p.breach_count.iter().all(|n| *n == 0) { 1.0 } else { 0.0 };
+    let keeps_rules = |p: &RunResult| if p.breach_count.iter().all(|n| *n == 0) { 1.0 } else { 0.0 };
     let rules = Criterion {
         what: "rules kept".into(),
         ours: keeps_rules(ours),
@@ -81,8 +86,9 @@
     let mut criteria = vec![rules, whole_run];
     // All three policies meet the same requests; what was asked is taken from the reference policy's run.
     let share = |part: f64, of: &mut dyn Iterator<Item = f64>| part / of.sum::<f64>().max(1e-9);
-    let classes = &late.book.by_class;
-    for ((class, reference), policy_worth) in scenario.classes.iter().zip(classes).zip(&ours.book.by_class)
+    let classes = &late.statistics.by_class;
+    for ((class, reference), policy_worth) in
+        scenario.classes.iter().zip(classes).zip(&ours.statistics.by_class)
     {
         let requests = share(reference.clients as f64, &mut classes.iter().map(|w| w.clients as f64));
         let worth = share(reference.asked, &mut classes.iter().map(|w| w.asked));
@@ -96,9 +102,9 @@
             judged.then_some(MIN_RATIO),
         ));
     }
-    let tenants = &late.book.by_tenant;
+    let tenants = &late.statistics.by_tenant;
     for ((tenant, reference), policy_worth) in
-        scenario.tenants.iter().zip(tenants).zip(&ours.book.by_tenant)
+        scenario.tenants.iter().zip(tenants).zip(&ours.statistics.by_tenant)
     {
         let judged = share(reference.asked, &mut tenants.iter().map(|w| w.asked)) >= MIN_SHARE_JUDGED;
         criteria.push(criterion(
--- a/crates/lab/src/live/clients.rs
+++ b/crates/lab/src/live/clients.rs
@@ -2,7 +2,7 @@
 //! earlier ones. Latency is measured from the time at which a request was scheduled to go out.
 
 use super::{Executor, with_timeout};
-use crate::draw::{Draw, Purpose};
+use crate::draw::{Purpose, RandomStream};
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
 use cottonpoint_codec::http;
@@ -114,12 +114,12 @@
     /// Sends `rate` requests per second on average, with exponential intervals between them. It
     /// never returns.
     pub async fn run(self: Rc<Self>, executor: Executor, rate: f64, seed: u64) {
-        let mut draw = Draw::new(seed, Purpose::Arrivals, 0);
+        let mut draw = RandomStream::new(seed, Purpose::Arrivals, 0);
         let weights: Vec<f64> = self.classes.iter().map(|c| c.share).collect();
         let mut scheduled_at = Instant::now();
         loop {
             scheduled_at += Duration::from_secs_f64(draw.exponential(1.0 / rate));
-            let class = self.classes[crate::world::share_of(&weights, draw.share())];
+            let class = self.classes[crate::world::weighted_index(&weights, draw.uniform())];
             Timer::at(scheduled_at).await;
             if self.open_requests.get() >= OPEN_REQUESTS_LIMIT {
                 increment(&self.stats.not_sent);
--- a/crates/lab/src/live/endpoint.rs
+++ b/crates/lab/src/live/endpoint.rs
@@ -3,7 +3,7 @@
 
 use super::discovery::{Discovery, Line};
 use super::{CountGuard, Executor};
-use crate::draw::{Draw, Purpose};
+use crate::draw::{Purpose, RandomStream};
 use async_executor::Task;
 use async_io::{Async, Timer};
 use cottonpoint_codec::buffer::Buffer;
@@ -26,7 +26,7 @@
     discovery: Rc<Discovery>,
     /// Its speed relative to the other endpoints: 0.5 takes twice as long.
     speed: f64,
-    draw: RefCell<Draw>,
+    draw: RefCell<RandomStream>,
     /// The tasks that accept and serve connections. Dropping them closes their sockets, as the end
     /// of a process does.
     process: RefCell<Option<Process>>,
@@ -59,7 +59,7 @@
             executor: executor.clone(),
             discovery: discovery.clone(),
             speed,
-            draw: RefCell::new(Draw::new(0, Purpose::Attempt, name.bytes().map(u64::from).sum())),
+            draw: RefCell::new(RandomStream::new(0, Purpose::Attempt, name.bytes().map(u64::from).sum())),
             process: RefCell::default(),
             list_entry: RefCell::default(),
             active_requests: Cell::default(),
--- a/crates/lab/src/policies/mod.rs
+++ b/crates/lab/src/policies/mod.rs
@@ -1,42 +1,43 @@
-//! Deciders: our own policy, rivals from the literature, and one that sees the true state.
-//!
-//! A policy is named by a choice of server, and behind a `+` each a limit and a retry budget:
-//! `ours`, `p2c`, `peak-ewma+gradient+budget`, `top`.
+//! Deciders: our policy, reference policies from the literature, and policies that see the true
+//! state.
+//! A policy is named by the way it chooses an endpoint, optionally followed by a limit and a retry
+//! budget, each after a `+`: `ours`, `p2c`, `peak-ewma+gradient+budget`, `top`.
 
 pub mod broken;
 mod limits;
-mod rival;
+mod reference;
 
-use crate::world::View;
-use crate::world::server::{Nanos, Server};
+use crate::world::EndpointView;
+use crate::world::endpoint::{EmulatedEndpoint, Nanos};
 use cottonpoint_decide::{Action, Balancer, Event, Settings, Time};
-pub use limits::Limiting;
-pub use rival::{Choice, Rival};
+pub use limits::LimitKind;
+pub use reference::{Choice, ReferencePolicy};
 use std::fmt;
 use std::str::FromStr;
 
-/// The true state of the world. Only the policies that give the top and the mark of the gate look at it.
+/// The true state of the emulator. Only the policies that give the upper bound (`top`) and the
+/// reference value of the gate (`late`) use it.
 pub struct Truth<'a> {
     /// The time.
     pub now: Nanos,
-    /// All servers that ever were, by index, which is their id.
-    pub servers: &'a [Server],
-    /// The same servers as they were when the reports were made that a sidecar has by now; empty unless some decider
-    /// [sees it late](Decider::sees_late).
-    pub late: &'a [View],
+    /// All endpoints of the run, including ended ones; the index is the endpoint's id.
+    pub endpoints: &'a [EmulatedEndpoint],
+    /// The same endpoints at the time at which the load reports were made that a sidecar has by
+    /// now; empty unless some decider [uses it](Decider::uses_delayed_state).
+    pub delayed: &'a [EndpointView],
 }
 
-/// What decides for one sidecar: the same events and actions as [`Balancer`].
+/// Makes the decisions of one sidecar, with the same events and actions as [`Balancer`].
 pub trait Decider {
-    /// Takes one event and appends what is to be done about it.
+    /// Handles one event and appends the resulting actions.
     fn handle(&mut self, now: Time, event: Event<'_>, truth: &Truth<'_>, actions: &mut Vec<Action>);
 
-    /// Whether it looks at the true state of a while ago.
-    fn sees_late(&self) -> bool {
+    /// Whether the decider uses [`Truth::delayed`].
+    fn uses_delayed_state(&self) -> bool {
         false
     }
 
-    /// The limit on running calls that it goes by now, if it has one.
+    /// The current limit on running requests, if there is one.
     fn limit(&self) -> Option<f64> {
         None
     }
@@ -52,38 +53,38 @@
     }
 }
 
-/// A policy by name.
+/// A policy, as its name describes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The project's own.
+    /// The project's own policy.
     Ours,
-    /// A rival: its choice of server, its limit, and whether it budgets retries.
-    Rival(Choice, Limiting, bool),
+    /// A reference policy: its choice of endpoint, its limit, and whether it has a retry budget.
+    Reference(Choice, LimitKind, bool),
 }
 
-/// The names of all choices with what they are.
+/// The name of each choice of endpoint.
 pub const CHOICES: [(&str, Choice); 10] = [
     ("random", Choice::Random),
     ("round-robin", Choice::RoundRobin),
-    ("least-out", Choice::LeastOut),
+    ("least-out", Choice::LeastOutstanding),
     ("p2c", Choice::PowerOfTwo),
     ("peak-ewma", Choice::PeakEwma),
     ("wrr", Choice::WeightedByReport),
     ("prequal", Choice::HotCold),
     ("least-time", Choice::LeastTime),
-    ("late", Choice::LateState),
+    ("late", Choice::DelayedState),
     ("top", Choice::TrueState),
 ];
 
-const LIMITS: [(&str, Limiting); 3] =
-    [("none", Limiting::None), ("aimd", Limiting::Aimd), ("gradient", Limiting::Gradient)];
+const LIMITS: [(&str, LimitKind); 3] =
+    [("none", LimitKind::None), ("aimd", LimitKind::Aimd), ("gradient", LimitKind::Gradient)];
 
 impl fmt::Display for Policy {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Policy::Rival(choice, limit, budget) = self else { return f.write_str("ours") };
+        let Policy::Reference(choice, limit, budget) = self else { return f.write_str("ours") };
         let name = CHOICES.iter().find(|c| c.1 == *choice).map_or("?", |c| c.0);
         f.write_str(name)?;
-        if *limit != Limiting::None {
+        if *limit != LimitKind::None {
             write!(f, "+{}", LIMITS.iter().find(|l| l.1 == *limit).map_or("?", |l| l.0))?;
         }
         if *budget { f.write_str("+budget") } else { Ok(()) }
@@ -100,17 +101,17 @@
         }
         let Some(&(_, choice)) = CHOICES.iter().find(|c| c.0 == name) else {
             let known: Vec<&str> = CHOICES.iter().map(|c| c.0).collect();
-            return Err(format!("no policy is called {name}; there are ours, {}", known.join(", ")));
+            return Err(format!("unknown policy {name}; known policies: ours, {}", known.join(", ")));
         };
-        let (mut limit, mut budget) = (Limiting::None, false);
+        let (mut limit, mut budget) = (LimitKind::None, false);
         for part in parts {
             match (part, LIMITS.iter().find(|l| l.0 == part)) {
                 ("budget", _) => budget = true,
                 (_, Some(l)) => limit = l.1,
-                _ => return Err(format!("after + may stand aimd, gradient or budget, not {part}")),
+                _ => return Err(format!("unknown option +{part}; known: aimd, gradient, budget")),
             }
         }
-        Ok(Policy::Rival(choice, limit, budget))
+        Ok(Policy::Reference(choice, limit, budget))
     }
 }
 
@@ -119,8 +120,8 @@
     pub fn make(self, settings: Settings, seed: u64, now: Time) -> Box<dyn Decider> {
         match self {
             Policy::Ours => Box::new(Balancer::new(settings, seed, now)),
-            Policy::Rival(choice, limit, budget) => {
-                Box::new(Rival::new(settings, seed, now, choice, limit, budget))
+            Policy::Reference(choice, limit, budget) => {
+                Box::new(ReferencePolicy::new(settings, seed, now, choice, limit, budget))
             }
         }
     }
--- a/crates/lab/src/prove/fleet.rs
+++ b/crates/lab/src/prove/fleet.rs
@@ -4,9 +4,9 @@
 use super::Claim;
 use crate::policies::broken::without_cold_budget;
 use crate::policies::{Decider, Policy, Truth};
-use crate::scenario::{Class, Scenario, Span};
-use crate::world::server::Life;
-use crate::world::{Breach, Maker, Rule, World};
+use crate::scenario::{Class, Scenario, ValueRange};
+use crate::world::endpoint::ProcessState;
+use crate::world::{Breach, DeciderFactory, Rule, World};
 use cottonpoint_decide::{Action, ClassId, EndpointId, Event, RequestId, Settings, Time};
 use rayon::prelude::*;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -89,7 +89,7 @@
 
 impl ColdRule {
     fn for_scenario(scenario: &Scenario) -> ColdRule {
-        let midpoint = |span: Span| (span.from + span.to) / 2.0;
+        let midpoint = |span: ValueRange| (span.from + span.to) / 2.0;
         let shares: f64 = scenario.classes.iter().map(|c| midpoint(c.share)).sum();
         let work = |c: &Class| (c.work.from.seconds() + c.work.to.seconds()) / 2.0;
         let mean: f64 = scenario.classes.iter().map(|c| midpoint(c.share) / shares * work(c)).sum();
@@ -143,17 +143,20 @@
         // Each attempt that ends has held a connection, so examining the endpoints of ended attempts covers all
         // endpoints that have connections.
         if let Event::Finished { endpoint, .. } = event
-            && let Some(server) = truth.servers.get(endpoint.0 as usize)
+            && let Some(server) = truth.endpoints.get(endpoint.0 as usize)
         {
-            counts.max_connections = counts.max_connections.max(server.open);
+            counts.max_connections = counts.max_connections.max(server.open_connections);
         }
         if truth.now >= counts.sampled_until + SAMPLE_INTERVAL_NANOS {
             let elapsed = (truth.now - counts.sampled_until) as f64 / 1e9;
             counts.sampled_until = truth.now;
-            let cold = truth.servers.iter().filter(|s| s.life == Life::Up && s.warmth(truth.now) < 1.0);
+            let cold = truth
+                .endpoints
+                .iter()
+                .filter(|s| s.process_state == ProcessState::Up && s.warmth(truth.now) < 1.0);
             let rate = cold.map(|s| {
-                let work = self.rule.tier_work.get(s.build.tier).copied().unwrap_or(f64::INFINITY);
-                s.present_capacity(truth.now) / work
+                let work = self.rule.tier_work.get(s.spec.tier).copied().unwrap_or(f64::INFINITY);
+                s.undisturbed_capacity(truth.now) / work
             });
             counts.cold_capacity += rate.sum::<f64>() * elapsed;
         }
@@ -162,8 +165,8 @@
             match action {
                 Action::Subscribe => *counts.discovery_calls.entry(second).or_default() += 1,
                 Action::Send { id, endpoint, .. } => {
-                    let Some(server) = truth.servers.get(endpoint.0 as usize) else { continue };
-                    let work = self.rule.tier_work.get(server.build.tier).copied().unwrap_or(f64::INFINITY);
+                    let Some(server) = truth.endpoints.get(endpoint.0 as usize) else { continue };
+                    let work = self.rule.tier_work.get(server.spec.tier).copied().unwrap_or(f64::INFINITY);
                     if server.warmth(truth.now) < 1.0 {
                         counts.cold_attempts += 1;
                     }
@@ -176,7 +179,7 @@
                         continue;
                     }
                     let allowed = self.rule.multiple
-                        * server.present_capacity(truth.now)
+                        * server.undisturbed_capacity(truth.now)
                         * self.rule.window.as_secs_f64()
                         / work;
                     let sent = counts.recent_cold_attempts.entry(*endpoint).or_default();
@@ -211,7 +214,7 @@
 }
 
 /// Simulates a run with deciders made by `make` and counts over all sidecars.
-pub fn count_with_deciders(scenario: &Scenario, seed: u64, make: Maker<'_>) -> FleetCounts {
+pub fn count_with_deciders(scenario: &Scenario, seed: u64, make: DeciderFactory<'_>) -> FleetCounts {
     let counts = Arc::new(Mutex::new(FleetCounts::default()));
     let rule = ColdRule::for_scenario(scenario);
     let make_counting = |settings: Settings, seed, now| -> Box<dyn Decider> {
@@ -224,8 +227,8 @@
             request_classes: HashMap::new(),
         })
     };
-    let played = World::new(scenario, seed, &make_counting).play();
-    let cold_breaches = played.breaches.into_iter().filter(|b| b.rule == Rule::Cold).collect();
+    let result = World::new(scenario, seed, &make_counting).play();
+    let cold_breaches = result.breaches.into_iter().filter(|b| b.rule == Rule::Cold).collect();
     let counts = counts.lock().unwrap_or_else(PoisonError::into_inner).clone();
     FleetCounts { cold_breaches, ..counts }
 }
@@ -242,7 +245,7 @@
         Ok(scenario) => scenario,
         Err(claim) => return claims.push(claim),
     };
-    let play = |make: Maker<'_>| -> Vec<FleetCounts> {
+    let play = |make: DeciderFactory<'_>| -> Vec<FleetCounts> {
         (1..=seeds).into_par_iter().map(|seed| count_with_deciders(&scenario, seed, make)).collect()
     };
     let count_breaking_runs =
--- a/crates/lab/src/prove/lab/mod.rs
+++ b/crates/lab/src/prove/lab/mod.rs
@@ -4,7 +4,7 @@
 
 use super::Claim;
 use crate::experiment::{self, Task};
-use crate::policies::broken::Breaks;
+use crate::policies::broken::RuleBreaker;
 use crate::policies::{Decider, Policy};
 use crate::scenario::Scenario;
 use crate::world::{Rule, World};
@@ -147,7 +147,7 @@
         }
     }
     let audit_error = world.audit().err();
-    let remaining = world.held();
+    let remaining = world.open_counts();
     let left_open = (remaining[1] + remaining[2] + remaining[3] > 0)
         .then(|| format!("seed {seed}: left open at the end: {remaining:?}"));
     (events, audits + 1, audit_error.or(left_open))
@@ -188,7 +188,7 @@
     };
     let make_decider = move |settings: Settings, seed, now: Time| -> Box<dyn Decider> {
         match rule {
-            Some(rule) => Box::new(Breaks::new(rule, settings, seed, now)),
+            Some(rule) => Box::new(RuleBreaker::new(rule, settings, seed, now)),
             None => Policy::Ours.make(settings, seed, now),
         }
     };
@@ -220,8 +220,8 @@
         (0..8).map(|seed| Task { scenario: &scenario, seed, policy: Policy::Ours }).collect();
     let play_on = |threads| {
         let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build();
-        let played = pool.map(|p| p.install(|| experiment::play_all(&tasks, "threads")));
-        played.ok().and_then(|p| serde_json::to_string(&p).ok())
+        let result = pool.map(|p| p.install(|| experiment::play_all(&tasks, "threads")));
+        result.ok().and_then(|p| serde_json::to_string(&p).ok())
     };
     let (one, four) = (play_on(1), play_on(4));
     claims.push(Claim::new(
@@ -249,14 +249,14 @@
     };
     if let Ok(scenario) = with_length(&text, "60s") {
         let started = Instant::now();
-        let played = experiment::play(&scenario, 1, Policy::Ours);
+        let result = experiment::play(&scenario, 1, Policy::Ours);
         let elapsed = started.elapsed().as_secs_f64();
         claims.push(Claim::new(
             "a minute of the gallery on one core",
             "under 1 s",
             format!(
                 "{elapsed:.2} s, {:.2} million events a second",
-                played.happened as f64 / elapsed / 1e6
+                result.event_count as f64 / elapsed / 1e6
             ),
             elapsed < 1.0,
         ));
@@ -266,15 +266,15 @@
     }
     if let Some(scenario) = shipped("wide").and_then(|t| with_length(&t, "20s").ok()) {
         let started = Instant::now();
-        let played = experiment::play(&scenario, 1, Policy::Ours);
+        let result = experiment::play(&scenario, 1, Policy::Ours);
         let (elapsed, simulated) = (started.elapsed().as_secs_f64(), scenario.length.seconds());
         claims.push(Claim::new(
             "200 sidecars, 2,000 servers, 50,000 requests a second, on one core",
             "none; faster than real time is the aim",
             format!(
                 "{simulated:.0} s in {elapsed:.1} s, {:.2} million events a second, {} clients",
-                played.happened as f64 / elapsed / 1e6,
-                played.book.arrived
+                result.event_count as f64 / elapsed / 1e6,
+                result.statistics.arrived
             ),
             true,
         ));
@@ -284,7 +284,7 @@
         let mut world = World::new(&scenario, 1, &make_decider);
         let (mut max_held, mut quarters, mut max_by_quarter) = (0, 0, Vec::new());
         while world.step() {
-            max_held = max_held.max(world.held().iter().sum::<usize>());
+            max_held = max_held.max(world.open_counts().iter().sum::<usize>());
             if world.now() >= (quarters + 1) * 900_000_000_000 && quarters < 4 {
                 max_by_quarter.push(std::mem::take(&mut max_held));
                 quarters += 1;
--- a/crates/lab/src/prove/lab/queues.rs
+++ b/crates/lab/src/prove/lab/queues.rs
@@ -56,11 +56,12 @@
 /// Mean time that a request spends in the system in milliseconds, averaged over seeds.
 fn mean_time(text: &str, seeds: u64) -> f64 {
     let Ok(scenario) = Scenario::parse("(proof)", text) else { return f64::NAN };
-    let policy = Policy::Rival(crate::policies::Choice::RoundRobin, crate::policies::Limiting::None, false);
+    let policy =
+        Policy::Reference(crate::policies::Choice::RoundRobin, crate::policies::LimitKind::None, false);
     let means = (0..seeds).into_par_iter().map(|seed| {
-        let played = experiment::play(&scenario, seed, policy);
+        let result = experiment::play(&scenario, seed, policy);
         // The histogram records two significant digits. Its mean over many values is much more precise.
-        played.book.times.mean() / 1e3
+        result.statistics.times.mean() / 1e3
     });
     // The sum is in the order of the seeds, so that the number of threads does not change the rounding.
     means.collect::<Vec<f64>>().iter().sum::<f64>() / seeds as f64
--- a/crates/lab/src/rig/links.rs
+++ b/crates/lab/src/rig/links.rs
@@ -6,7 +6,7 @@
 //! whatever the faults are. A change on one link therefore does not affect the links of other
 //! senders.
 
-use crate::draw::{Draw, Purpose};
+use crate::draw::{Purpose, RandomStream};
 use cottonpoint_decide::Time;
 use std::time::Duration;
 
@@ -79,13 +79,14 @@
     members: usize,
     /// Indexed by sender, then by receiver.
     links: Vec<Link>,
-    draws: Vec<Draw>,
+    draws: Vec<RandomStream>,
 }
 
 impl Links {
     /// Creates links without faults. Equal seeds and equal sequences of calls give equal results.
     pub fn new(members: usize, seed: u64) -> Links {
-        let draws = (0..members).map(|i| Draw::new(seed, Purpose::Network, FIRST_STREAM + i as u64));
+        let draws =
+            (0..members).map(|i| RandomStream::new(seed, Purpose::Network, FIRST_STREAM + i as u64));
         Links { members, links: vec![Link::default(); members * members], draws: draws.collect() }
     }
 
@@ -104,10 +105,10 @@
         let Some(index) = self.index(from, to) else { return [None; 2] };
         let (link, draw) = (&mut self.links[index], &mut self.draws[from]);
         let Faults { loss, duplicate, reorder, hold, delay, cut } = link.faults;
-        let [lost, duplicated, reordered] = [loss, duplicate, reorder].map(|share| draw.share() < share);
+        let [lost, duplicated, reordered] = [loss, duplicate, reorder].map(|share| draw.uniform() < share);
         let [first, second] = [(); 2].map(|()| {
             let spread = delay.1.saturating_sub(delay.0).as_nanos() as f64;
-            delay.0.as_nanos() as u64 + (spread * draw.share()) as u64
+            delay.0.as_nanos() as u64 + (spread * draw.uniform()) as u64
         });
         if cut || lost {
             link.counts.dropped += 1;
--- a/crates/lab/src/world/troubles.rs
+++ b/crates/lab/src/world/troubles.rs
@@ -1,55 +1,56 @@
-//! Troubles: when they begin and end, whom they strike, what they do.
+//! Troubles (injected faults): when they begin and end, what they affect, what they do.
 
-use super::server::{Life, Nanos};
+use super::endpoint::{Nanos, ProcessState};
 use super::*;
-use crate::scenario::{Trouble, What};
+use crate::scenario::{Trouble, TroubleKind};
 use cottonpoint_decide::EndpointState;
 
 impl World<'_> {
-    pub(super) fn plan_troubles(&mut self) {
+    pub(super) fn schedule_troubles(&mut self) {
         for (i, t) in self.scenario.troubles.iter().enumerate() {
             let number = i as u32;
-            let mut draw = Draw::new(self.seed, Purpose::Troubles, u64::from(number));
-            let begins = draw.length(t.at);
-            let ends = begins + draw.length(t.length);
-            self.plan(begins, Happening::Trouble { number, begins: true });
-            self.plan(ends, Happening::Trouble { number, begins: false });
+            let mut draw = RandomStream::new(self.seed, Purpose::Troubles, u64::from(number));
+            let begins = draw.duration_in(t.at);
+            let ends = begins + draw.duration_in(t.length);
+            self.schedule(begins, SimEvent::Trouble { number, begins: true });
+            self.schedule(ends, SimEvent::Trouble { number, begins: false });
         }
     }
 
-    /// The servers that a trouble strikes: a share of those that run, one at least.
-    fn strike(&self, t: &Trouble, draw: &mut Draw) -> Vec<u32> {
+    /// The endpoints that a trouble affects: a share of those that are up, at least one.
+    fn choose_affected(&self, t: &Trouble, draw: &mut RandomStream) -> Vec<u32> {
         let up = |s: &u32| {
-            self.servers[*s as usize].build.tier == t.tier && self.servers[*s as usize].life == Life::Up
+            self.endpoints[*s as usize].spec.tier == t.tier
+                && self.endpoints[*s as usize].process_state == ProcessState::Up
         };
-        let up: Vec<u32> = (0..self.servers.len() as u32).filter(up).collect();
-        choose(up, draw.span(t.part), draw)
+        let up: Vec<u32> = (0..self.endpoints.len() as u32).filter(up).collect();
+        choose(up, draw.value_in(t.part), draw)
     }
 
     pub(super) fn trouble(&mut self, number: u32, begins: bool) {
         let scenario = self.scenario;
         let Some(t) = scenario.troubles.get(number as usize) else { return };
-        // The same draws at its end as at its beginning.
-        let mut draw = Draw::new(self.seed, Purpose::Troubles, u64::from(number));
-        let (_, length) = (draw.length(t.at), draw.length(t.length));
-        let size = draw.span(t.size);
+        // The end repeats the draws of the beginning.
+        let mut draw = RandomStream::new(self.seed, Purpose::Troubles, u64::from(number));
+        let (_, length) = (draw.duration_in(t.at), draw.duration_in(t.length));
+        let size = draw.value_in(t.size);
         if begins {
-            let struck = match t.what {
-                What::Burst | What::Outage | What::SharedSlow => Vec::new(),
-                What::SidecarDown => {
-                    let fronts = self.fronts as u32;
-                    choose((0..fronts).collect(), draw.span(t.part), &mut draw)
+            let affected = match t.what {
+                TroubleKind::Burst | TroubleKind::Outage | TroubleKind::SharedSlow => Vec::new(),
+                TroubleKind::SidecarDown => {
+                    let first_tier_sidecars = self.first_tier_sidecars as u32;
+                    choose((0..first_tier_sidecars).collect(), draw.value_in(t.part), &mut draw)
                 }
-                _ => self.strike(t, &mut draw),
+                _ => self.choose_affected(t, &mut draw),
             };
-            let words = format!("{:?} of tier {} strikes {struck:?}", t.what, t.tier);
-            self.book.event(self.now, words);
-            self.begin_trouble(number, t, &struck, size, length, &mut draw);
-            self.struck.insert(number, struck);
+            let words = format!("{:?} of tier {} strikes {affected:?}", t.what, t.tier);
+            self.statistics.record_event(self.now, words);
+            self.begin_trouble(number, t, &affected, size, length, &mut draw);
+            self.affected.insert(number, affected);
         } else {
-            let struck = self.struck.remove(&number).unwrap_or_default();
-            self.book.event(self.now, format!("{:?} of tier {} ends", t.what, t.tier));
-            self.end_trouble(number, t, &struck, size);
+            let affected = self.affected.remove(&number).unwrap_or_default();
+            self.statistics.record_event(self.now, format!("{:?} of tier {} ends", t.what, t.tier));
+            self.end_trouble(number, t, &affected, size);
         }
     }
 
@@ -57,156 +58,172 @@
         &mut self,
         number: u32,
         t: &Trouble,
-        struck: &[u32],
+        affected: &[u32],
         size: f64,
         length: Nanos,
-        draw: &mut Draw,
+        draw: &mut RandomStream,
     ) {
         match t.what {
-            What::Slow => self.each(struck, |s| s.slowed *= size),
-            What::SharedSlow => {
-                let all = self.of_tier(t.tier);
-                self.each(&all, |s| s.slowed *= size);
+            TroubleKind::Slow => self.change_endpoints(affected, |s| s.slowdown *= size),
+            TroubleKind::SharedSlow => {
+                let all = self.endpoints_of_tier(t.tier);
+                self.change_endpoints(&all, |s| s.slowdown *= size);
             }
-            What::FastErrors => self.each(struck, |s| s.failing = size),
-            What::Gray => self.each(struck, |s| s.gray = true),
-            What::Burst => self.burst *= size,
-            What::Outage => {
-                self.outages += 1;
+            TroubleKind::FastErrors => self.change_endpoints(affected, |s| s.error_share = size),
+            TroubleKind::Gray => self.change_endpoints(affected, |s| s.gray = true),
+            TroubleKind::Burst => self.load_multiple *= size,
+            TroubleKind::Outage => {
+                self.active_outages += 1;
                 for sidecar in 0..self.sidecars.len() {
-                    let side = &mut self.sidecars[sidecar];
-                    if self.scenario.discovery.asked && side.alive && side.subscribed {
-                        side.subscribed = false;
-                        let (sidecar, process) = (sidecar as u32, side.process);
-                        self.plan(self.now, Happening::NoList { sidecar, process });
+                    let sidecar_state = &mut self.sidecars[sidecar];
+                    if self.scenario.discovery.asked && sidecar_state.alive && sidecar_state.subscribed {
+                        sidecar_state.subscribed = false;
+                        let (sidecar, process) = (sidecar as u32, sidecar_state.process);
+                        self.schedule(self.now, SimEvent::PollFailed { sidecar, process });
                     }
                 }
             }
-            What::Vanish | What::Die => {
-                for &server in struck {
-                    self.kill_server(server, t.what == What::Vanish);
-                    self.list_later(server, EndpointState::Removed, self.scenario.discovery.silent);
+            TroubleKind::Vanish | TroubleKind::Die => {
+                for &endpoint in affected {
+                    self.kill_endpoint(endpoint, t.what == TroubleKind::Vanish);
+                    self.schedule_list_change(
+                        endpoint,
+                        EndpointState::Removed,
+                        self.scenario.discovery.silent,
+                    );
                 }
             }
-            What::Partition => {
-                let fronts = (0..self.sidecars.len() as u32).filter(|&s| {
+            TroubleKind::Partition => {
+                let candidates = (0..self.sidecars.len() as u32).filter(|&s| {
                     self.sidecars[s as usize].tier == t.tier && self.sidecars[s as usize].alive
                 });
-                let cut_off = choose(fronts.collect(), draw.span(t.sidecars), draw);
+                let cut_off = choose(candidates.collect(), draw.value_in(t.sidecars), draw);
                 let mark = |n: usize, which: &[u32]| {
                     let mut marks = vec![false; n];
                     which.iter().for_each(|&w| marks[w as usize] = true);
                     marks
                 };
                 let sidecars = mark(self.sidecars.len(), &cut_off);
-                let servers = mark(self.servers.len(), struck);
-                self.cuts.push(Cut { trouble: number, sidecars, servers });
+                let endpoints = mark(self.endpoints.len(), affected);
+                self.partitions.push(Partition { trouble: number, sidecars, endpoints });
             }
-            What::SidecarDown => struck.iter().for_each(|&s| self.kill_sidecar(s, false)),
-            What::Drain => {
-                for &server in struck {
-                    self.servers[server as usize].life = Life::Draining;
-                    self.list_later(server, EndpointState::Draining, self.scenario.discovery.notice);
+            TroubleKind::SidecarDown => affected.iter().for_each(|&s| self.kill_sidecar(s, false)),
+            TroubleKind::Drain => {
+                for &endpoint in affected {
+                    self.endpoints[endpoint as usize].process_state = ProcessState::Draining;
+                    self.schedule_list_change(
+                        endpoint,
+                        EndpointState::Draining,
+                        self.scenario.discovery.notice,
+                    );
                 }
             }
-            What::Deploy => {
-                let batch = ((size * self.of_tier(t.tier).len() as f64).ceil() as usize).max(1);
-                let batches = struck.len().div_ceil(batch).max(1);
-                for (i, &server) in struck.iter().enumerate() {
+            TroubleKind::Deploy => {
+                let batch = ((size * self.endpoints_of_tier(t.tier).len() as f64).ceil() as usize).max(1);
+                let batches = affected.len().div_ceil(batch).max(1);
+                for (i, &endpoint) in affected.iter().enumerate() {
                     let at = self.now + length / batches as u64 * (i / batch) as u64;
-                    let ends = at + draw.length(t.drain);
-                    self.plan(at, Happening::DrainServer { server, ends });
+                    let ends = at + draw.duration_in(t.drain);
+                    self.schedule(at, SimEvent::DrainEndpoint { endpoint, ends });
                 }
             }
         }
     }
 
-    fn end_trouble(&mut self, number: u32, t: &Trouble, struck: &[u32], size: f64) {
+    fn end_trouble(&mut self, number: u32, t: &Trouble, affected: &[u32], size: f64) {
         match t.what {
-            What::Slow => self.each(struck, |s| s.slowed /= size),
-            What::SharedSlow => {
-                let all = self.of_tier(t.tier);
-                self.each(&all, |s| s.slowed = (s.slowed / size).max(1.0));
+            TroubleKind::Slow => self.change_endpoints(affected, |s| s.slowdown /= size),
+            TroubleKind::SharedSlow => {
+                let all = self.endpoints_of_tier(t.tier);
+                self.change_endpoints(&all, |s| s.slowdown = (s.slowdown / size).max(1.0));
             }
-            What::FastErrors => self.each(struck, |s| s.failing = 0.0),
-            What::Gray => self.each(struck, |s| s.gray = false),
-            What::Burst => self.burst /= size,
-            What::Outage => self.outages = self.outages.saturating_sub(1),
-            What::Partition => self.cuts.retain(|c| c.trouble != number),
-            What::SidecarDown => struck.iter().for_each(|&s| self.restart_sidecar(s)),
-            What::Vanish | What::Die => {
-                for &server in
-                    struck.iter().filter(|s| !self.fallen.contains(s)).copied().collect::<Vec<_>>().iter()
+            TroubleKind::FastErrors => self.change_endpoints(affected, |s| s.error_share = 0.0),
+            TroubleKind::Gray => self.change_endpoints(affected, |s| s.gray = false),
+            TroubleKind::Burst => self.load_multiple /= size,
+            TroubleKind::Outage => self.active_outages = self.active_outages.saturating_sub(1),
+            TroubleKind::Partition => self.partitions.retain(|c| c.trouble != number),
+            TroubleKind::SidecarDown => affected.iter().for_each(|&s| self.restart_sidecar(s)),
+            TroubleKind::Vanish | TroubleKind::Die => {
+                for &endpoint in affected
+                    .iter()
+                    .filter(|s| !self.overloaded.contains(s))
+                    .copied()
+                    .collect::<Vec<_>>()
+                    .iter()
                 {
-                    self.start_server(server);
+                    self.start_endpoint(endpoint);
                 }
             }
-            What::Drain => {
-                for &server in struck {
-                    if self.servers[server as usize].life == Life::Draining {
-                        self.servers[server as usize].life = Life::Up;
-                        self.list_later(server, EndpointState::Ready, self.scenario.discovery.add);
+            TroubleKind::Drain => {
+                for &endpoint in affected {
+                    if self.endpoints[endpoint as usize].process_state == ProcessState::Draining {
+                        self.endpoints[endpoint as usize].process_state = ProcessState::Up;
+                        self.schedule_list_change(
+                            endpoint,
+                            EndpointState::Ready,
+                            self.scenario.discovery.add,
+                        );
                     }
                 }
             }
-            What::Deploy => {}
+            TroubleKind::Deploy => {}
         }
     }
 
-    /// A process starts on a machine that had lost its own.
-    fn start_server(&mut self, server: u32) {
-        self.servers[server as usize].start(self.now);
-        self.list_later(server, EndpointState::Ready, self.scenario.discovery.add);
-        if let Some(sidecar) = self.beside.get(&server).copied() {
+    /// Starts a process on a machine whose process had ended.
+    fn start_endpoint(&mut self, endpoint: u32) {
+        self.endpoints[endpoint as usize].start_process(self.now);
+        self.schedule_list_change(endpoint, EndpointState::Ready, self.scenario.discovery.add);
+        if let Some(sidecar) = self.sidecar_of.get(&endpoint).copied() {
             self.restart_sidecar(sidecar);
         }
     }
 
-    pub(super) fn drain_server(&mut self, server: u32, ends: Nanos) {
-        if self.servers[server as usize].life != Life::Up {
+    pub(super) fn drain_endpoint(&mut self, endpoint: u32, ends: Nanos) {
+        if self.endpoints[endpoint as usize].process_state != ProcessState::Up {
             return;
         }
-        self.servers[server as usize].life = Life::Draining;
-        self.list_later(server, EndpointState::Draining, self.scenario.discovery.notice);
-        self.plan(ends, Happening::EndServer { server, replace: true });
+        self.endpoints[endpoint as usize].process_state = ProcessState::Draining;
+        self.schedule_list_change(endpoint, EndpointState::Draining, self.scenario.discovery.notice);
+        self.schedule(ends, SimEvent::StopEndpoint { endpoint, replace: true });
     }
 
-    pub(super) fn end_server(&mut self, server: u32, replace: bool) {
-        if self.servers[server as usize].life != Life::Draining {
+    pub(super) fn stop_endpoint(&mut self, endpoint: u32, replace: bool) {
+        if self.endpoints[endpoint as usize].process_state != ProcessState::Draining {
             return;
         }
-        self.kill_server(server, false);
-        self.list_later(server, EndpointState::Removed, self.scenario.discovery.notice);
+        self.kill_endpoint(endpoint, false);
+        self.schedule_list_change(endpoint, EndpointState::Removed, self.scenario.discovery.notice);
         if replace {
-            let build = self.servers[server as usize].build.clone();
-            let successor = self.servers.len() as u32;
-            self.servers.push(Server::new(build, Some(self.now), self.now));
-            self.add_sidecar_beside(successor);
-            self.list_later(successor, EndpointState::Ready, self.scenario.discovery.add);
+            let spec = self.endpoints[endpoint as usize].spec.clone();
+            let successor = self.endpoints.len() as u32;
+            self.endpoints.push(EmulatedEndpoint::new(spec, Some(self.now), self.now));
+            self.add_endpoint_sidecar(successor);
+            self.schedule_list_change(successor, EndpointState::Ready, self.scenario.discovery.add);
         }
     }
 
-    fn of_tier(&self, tier: usize) -> Vec<u32> {
-        (0..self.servers.len() as u32).filter(|&s| self.servers[s as usize].build.tier == tier).collect()
+    fn endpoints_of_tier(&self, tier: usize) -> Vec<u32> {
+        (0..self.endpoints.len() as u32).filter(|&s| self.endpoints[s as usize].spec.tier == tier).collect()
     }
 
-    /// Changes what some servers can do.
-    fn each(&mut self, servers: &[u32], change: impl Fn(&mut Server)) {
-        for &server in servers {
-            let s = &mut self.servers[server as usize];
+    /// Changes the performance of some endpoints and reschedules their completions.
+    fn change_endpoints(&mut self, endpoints: &[u32], change: impl Fn(&mut EmulatedEndpoint)) {
+        for &endpoint in endpoints {
+            let s = &mut self.endpoints[endpoint as usize];
             s.advance(self.now);
             change(s);
-            self.replan(server);
+            self.reschedule_completion(endpoint);
         }
     }
 }
 
-/// Chooses a share of some, one at least, in the order of the draw (Fisher and Yates).
-fn choose(mut from: Vec<u32>, share: f64, draw: &mut Draw) -> Vec<u32> {
+/// Chooses a share of the elements, at least one, in the order of the draws (Fisher-Yates shuffle).
+fn choose(mut from: Vec<u32>, share: f64, draw: &mut RandomStream) -> Vec<u32> {
     let count =
         ((share * from.len() as f64).round() as usize).clamp(usize::from(!from.is_empty()), from.len());
     for i in 0..count {
-        let j = i + draw.below(from.len() - i);
+        let j = i + draw.index_below(from.len() - i);
         from.swap(i, j);
     }
     from.truncate(count);
--- a/crates/lab/tests/gate.rs
+++ b/crates/lab/tests/gate.rs
@@ -5,9 +5,9 @@
 use cottonpoint_lab::experiment::play;
 use cottonpoint_lab::gate::{BASELINE_POLICY, Criterion, DELAYED_VIEW_POLICY, judge};
 use cottonpoint_lab::policies::Policy;
-use cottonpoint_lab::policies::broken::Starves;
+use cottonpoint_lab::policies::broken::StarvingPolicy;
 use cottonpoint_lab::scenario::Scenario;
-use cottonpoint_lab::world::{Played, World};
+use cottonpoint_lab::world::{RunResult, World};
 
 const SCENARIOS: [&str; 2] = ["gallery-slow", "gallery-calm"];
 
@@ -16,13 +16,13 @@
     Scenario::load(std::path::Path::new(&file)).unwrap_or_else(|e| panic!("{e}"))
 }
 
-fn judge_seed_1(scenario: &Scenario, ours: &Played) -> Vec<Criterion> {
+fn judge_seed_1(scenario: &Scenario, ours: &RunResult) -> Vec<Criterion> {
     let [late, baseline] = [DELAYED_VIEW_POLICY, BASELINE_POLICY]
         .map(|p| play(scenario, 1, p.parse::<Policy>().expect("a known policy")));
     assert!(
-        late.book.figures().whole > 0.5,
+        late.statistics.figures().whole > 0.5,
         "the reference policy has to serve more than half: {:?}",
-        late.book.figures()
+        late.statistics.figures()
     );
     judge(scenario, ours, &late, &baseline)
 }
@@ -49,7 +49,7 @@
     let scenario = scenario("gallery-slow");
     let judge_starving = |class: Option<u16>, tenant: Option<u16>| {
         let make_decider = |settings, seed, now| -> Box<dyn cottonpoint_lab::policies::Decider> {
-            Box::new(Starves::new(class.map(ClassId), tenant.map(TenantId), settings, seed, now))
+            Box::new(StarvingPolicy::new(class.map(ClassId), tenant.map(TenantId), settings, seed, now))
         };
         judge_seed_1(&scenario, &World::new(&scenario, 1, &make_decider).play())
     };
