--- a/crates/lab/src/commands/hunt.rs
+++ b/crates/lab/src/commands/hunt.rs
@@ -144,8 +144,8 @@
         (seconds >= 5.0).then(|| format!("\"{}ms\"", (seconds * 1e3) as u64))
     } else {
         let tier = key.split('.').nth(1).and_then(|t| t.parse::<usize>().ok()).unwrap_or(0);
-        let servers = scenario.tiers.get(tier).map(|t| t.servers);
-        servers
+        let endpoint_count = scenario.tiers.get(tier).map(|t| t.servers);
+        endpoint_count
             .filter(|s| s.from >= 4.0)
             .map(|s| format!("[{}, {}]", (s.from / 2.0).floor(), (s.to / 2.0).floor()))
     };
--- a/crates/lab/src/commands/results.rs
+++ b/crates/lab/src/commands/results.rs
@@ -29,8 +29,13 @@
                 return Ok(true);
             }
             let lines = rows.iter().map(|r| {
-                let (n, f) = (&r.key, &r.outcome.figures);
-                vec![n.scenario.clone(), n.policy.clone(), n.seed.to_string(), format!("{:.3}", f.score)]
+                let (key, figures) = (&r.key, &r.outcome.figures);
+                vec![
+                    key.scenario.clone(),
+                    key.policy.clone(),
+                    key.seed.to_string(),
+                    format!("{:.3}", figures.score),
+                ]
             });
             println!("{}", markdown(["scenario", "policy", "seed", "score"], lines));
         }
--- a/crates/lab/src/gate.rs
+++ b/crates/lab/src/gate.rs
@@ -144,8 +144,8 @@
 pub fn evaluate(scenario: &Scenario, seeds: u64, policy: Policy) -> Result<Vec<CriterionSummary>, String> {
     let (late, baseline): (Policy, Policy) = (DELAYED_VIEW_POLICY.parse()?, BASELINE_POLICY.parse()?);
     let run = |seed: u64| {
-        let played = |policy| play(scenario, seed, policy);
-        judge(scenario, &played(policy), &played(late), &played(baseline))
+        let run_policy = |policy| play(scenario, seed, policy);
+        judge(scenario, &run_policy(policy), &run_policy(late), &run_policy(baseline))
     };
     let runs: Vec<Vec<Criterion>> = (0..seeds).into_par_iter().map(run).collect();
     Ok(summarize(&runs))
--- a/crates/lab/src/policies/reference/choose.rs
+++ b/crates/lab/src/policies/reference/choose.rs
@@ -141,10 +141,10 @@
     /// of this sidecar's outstanding attempts count as load if that is more than the state shows,
     /// since some have not arrived yet.
     pub(super) fn expected_time(&self, t: &EndpointStats, class: usize, truth: &Truth<'_>) -> f64 {
-        let place = t.id.0 as usize;
+        let index = t.id.0 as usize;
         let view = match self.choice {
-            Choice::DelayedState => truth.delayed.get(place).copied(),
-            _ => truth.endpoints.get(place).map(|s| EndpointView::of(s, truth.now)),
+            Choice::DelayedState => truth.delayed.get(index).copied(),
+            _ => truth.endpoints.get(index).map(|s| EndpointView::of(s, truth.now)),
         };
         let Some(s) = view.filter(|s| s.accepts_work) else { return f64::INFINITY };
         let ahead = s.runnable.max(t.outstanding as usize / 2) as f64;
--- a/crates/lab/src/prove/fleet.rs
+++ b/crates/lab/src/prove/fleet.rs
@@ -143,9 +143,9 @@
         // Each attempt that ends has held a connection, so examining the endpoints of ended attempts covers all
         // endpoints that have connections.
         if let Event::Finished { endpoint, .. } = event
-            && let Some(server) = truth.endpoints.get(endpoint.0 as usize)
+            && let Some(emulated) = truth.endpoints.get(endpoint.0 as usize)
         {
-            counts.max_connections = counts.max_connections.max(server.open_connections);
+            counts.max_connections = counts.max_connections.max(emulated.open_connections);
         }
         if truth.now >= counts.sampled_until + SAMPLE_INTERVAL_NANOS {
             let elapsed = (truth.now - counts.sampled_until) as f64 / 1e9;
@@ -165,21 +165,22 @@
             match action {
                 Action::Subscribe => *counts.discovery_calls.entry(second).or_default() += 1,
                 Action::Send { id, endpoint, .. } => {
-                    let Some(server) = truth.endpoints.get(endpoint.0 as usize) else { continue };
-                    let work = self.rule.tier_work.get(server.spec.tier).copied().unwrap_or(f64::INFINITY);
-                    if server.warmth(truth.now) < 1.0 {
+                    let Some(emulated) = truth.endpoints.get(endpoint.0 as usize) else { continue };
+                    let work =
+                        self.rule.tier_work.get(emulated.spec.tier).copied().unwrap_or(f64::INFINITY);
+                    if emulated.warmth(truth.now) < 1.0 {
                         counts.cold_attempts += 1;
                     }
                     // The rule binds only sidecars that know of the endpoint's start.
                     let origin = now.0.saturating_sub(truth.now);
                     let known_start = self.known_starts.get(endpoint).copied().flatten();
                     let knows_start =
-                        known_start.is_some_and(|t| Some(t.0.saturating_sub(origin)) == server.started);
-                    if !knows_start || server.warmth(truth.now) >= 1.0 {
+                        known_start.is_some_and(|t| Some(t.0.saturating_sub(origin)) == emulated.started);
+                    if !knows_start || emulated.warmth(truth.now) >= 1.0 {
                         continue;
                     }
                     let allowed = self.rule.multiple
-                        * server.undisturbed_capacity(truth.now)
+                        * emulated.undisturbed_capacity(truth.now)
                         * self.rule.window.as_secs_f64()
                         / work;
                     let sent = counts.recent_cold_attempts.entry(*endpoint).or_default();
@@ -245,23 +246,23 @@
         Ok(scenario) => scenario,
         Err(claim) => return claims.push(claim),
     };
-    let play = |make: DeciderFactory<'_>| -> Vec<FleetCounts> {
+    let simulate = |make: DeciderFactory<'_>| -> Vec<FleetCounts> {
         (1..=seeds).into_par_iter().map(|seed| count_with_deciders(&scenario, seed, make)).collect()
     };
     let count_breaking_runs =
-        |runs: &[FleetCounts]| runs.iter().filter(|t| !t.cold_breaches.is_empty()).count();
-    let ours = play(&|settings, seed, now| Policy::Ours.make(settings, seed, now));
-    let without_budget = play(&without_cold_budget);
-    let fleet = ours.iter().map(|t| t.sidecars).min().unwrap_or(0);
+        |runs: &[FleetCounts]| runs.iter().filter(|counts| !counts.cold_breaches.is_empty()).count();
+    let ours = simulate(&|settings, seed, now| Policy::Ours.make(settings, seed, now));
+    let without_budget = simulate(&without_cold_budget);
+    let fleet = ours.iter().map(|counts| counts.sidecars).min().unwrap_or(0);
     let conditions = format!("{COLD_RULE_SCENARIO}, {seeds} seeds, {fleet} sidecars or more");
-    let max = ours.iter().map(|t| t.max_cold_attempts).fold(0.0, f64::max);
+    let max = ours.iter().map(|counts| counts.max_cold_attempts).fold(0.0, f64::max);
     claims.push(Claim::new(
         format!("attempts at a cold target, against N + 2 root N + 2: {conditions}"),
         "below 1",
         format!("{max:.2}"),
         max < 1.0 && fleet >= 300,
     ));
-    let max = ours.iter().map(|t| t.max_cold_work).fold(0.0, f64::max);
+    let max = ours.iter().map(|counts| counts.max_cold_work).fold(0.0, f64::max);
     claims.push(Claim::new(
         format!("the same by the mean work of their classes: {conditions}"),
         "below 1",
@@ -269,7 +270,7 @@
         max < 1.0,
     ));
     let (count, bound) = (count_breaking_runs(&ours), (MAX_BREAKING_SHARE * seeds as f64) as usize);
-    let first = ours.iter().zip(1..).find_map(|(t, seed)| Some((seed, t.cold_breaches.first()?)));
+    let first = ours.iter().zip(1..).find_map(|(counts, seed)| Some((seed, counts.cold_breaches.first()?)));
     let first = first.map_or_else(String::new, |(seed, breach)| format!(", first seed {seed}, {breach}"));
     claims.push(Claim::new(
         format!("days on which a cold target falls by the work that those told of it sent: {conditions}"),
@@ -277,7 +278,7 @@
         format!("{count}{first}"),
         count <= bound,
     ));
-    let max = without_budget.iter().map(|t| t.max_cold_attempts).fold(0.0, f64::max);
+    let max = without_budget.iter().map(|counts| counts.max_cold_attempts).fold(0.0, f64::max);
     let count = count_breaking_runs(&without_budget);
     claims.push(Claim::new(
         format!("both without the budget for cold targets, whose want must show: {conditions}"),
@@ -305,10 +306,10 @@
             .map(|seed| count_with_policy(&scenario, seed, Policy::Ours))
             .collect();
         let calls = runs.iter().map(FleetCounts::max_calls_per_second).fold(0.0, f64::max);
-        let connections = runs.iter().map(|t| t.max_connections).max().unwrap_or(0);
-        let cold_attempts = runs.iter().map(|t| t.max_cold_less_chance).fold(0.0, f64::max);
-        let median_cold_attempts = median(runs.iter().map(|t| t.max_cold_less_chance));
-        let fleet = runs.iter().map(|t| t.sidecars).min().unwrap_or(0);
+        let connections = runs.iter().map(|counts| counts.max_connections).max().unwrap_or(0);
+        let cold_attempts = runs.iter().map(|counts| counts.max_cold_less_chance).fold(0.0, f64::max);
+        let median_cold_attempts = median(runs.iter().map(|counts| counts.max_cold_less_chance));
+        let fleet = runs.iter().map(|counts| counts.sidecars).min().unwrap_or(0);
         let conditions = format!("{name}, {seeds} seeds, {fleet} sidecars or more");
         claims.push(Claim::new(
             format!("calls on discovery in the worst second: {conditions}"),
--- a/crates/lab/src/prove/peers.rs
+++ b/crates/lab/src/prove/peers.rs
@@ -96,8 +96,8 @@
     }
 
     /// Simulates each fleet from its settled state; the results are in the order of the fleets.
-    fn for_each_fleet<R: Send>(&self, play: impl Fn(&Fleet) -> R + Sync) -> Vec<R> {
-        self.settled.par_iter().map(|(fleet, _)| play(fleet)).collect()
+    fn for_each_fleet<R: Send>(&self, experiment: impl Fn(&Fleet) -> R + Sync) -> Vec<R> {
+        self.settled.par_iter().map(|(fleet, _)| experiment(fleet)).collect()
     }
 
     fn with_size(&self, claim: &str) -> String {
@@ -136,23 +136,23 @@
             Box::new(move || self.check_crashes()),
             Box::new(move || self.check_loss()),
             Box::new(move || {
-                let dead = self.for_each_fleet(|fleet| experiments::one_way_cut(fleet, None));
+                let dead_times = self.for_each_fleet(|fleet| experiments::one_way_cut(fleet, None));
                 let claim =
                     "a live member that reaches a majority is held dead, links cut one way, 10% loss";
                 vec![worst_case_claim(
                     self.with_size(claim),
-                    &dead,
+                    &dead_times,
                     bound_nanos(bounds::refutation_round, n),
                 )]
             }),
             Box::new(move || {
-                let (dead, back): (Vec<_>, Vec<_>) =
+                let (falsely_dead, agreed): (Vec<_>, Vec<_>) =
                     self.for_each_fleet(experiments::flap_links).into_iter().unzip();
-                let dead: usize = dead.iter().sum();
+                let falsely_dead: usize = falsely_dead.iter().sum();
                 let claim = self.with_size("held dead while the links of one come and go each 1.5 T, 60 T");
-                let first = Claim::new(claim, "nobody", format!("{dead} times"), dead == 0);
+                let first = Claim::new(claim, "nobody", format!("{falsely_dead} times"), falsely_dead == 0);
                 let claim = self.with_size("after links that came and went all agree");
-                vec![first, worst_case_claim(claim, &back, agreement_bound(n))]
+                vec![first, worst_case_claim(claim, &agreed, agreement_bound(n))]
             }),
             Box::new(move || {
                 let times: Vec<u64> = RESTART_TENTH_PERIODS
@@ -252,23 +252,23 @@
 
     fn check_split(&self, part_size: usize) -> Vec<Claim> {
         let splits = self.split(part_size, None);
-        let named: Vec<u64> = splits.iter().map(|split| split.partition_known_after).collect();
-        let healed: Vec<u64> = splits.iter().map(|split| split.agreed_after).collect();
+        let partition_known: Vec<u64> = splits.iter().map(|split| split.partition_known_after).collect();
+        let agreed: Vec<u64> = splits.iter().map(|split| split.agreed_after).collect();
         let (sides, n) = (format!("a split of {part_size} and {}", self.n - part_size), self.n);
         vec![
             worst_case_claim(
                 format!("in {sides} each member names its part"),
-                &named,
+                &partition_known,
                 bound_nanos(bounds::known_to_all, n),
             ),
-            worst_case_claim(format!("after {sides} has healed all agree"), &healed, agreement_bound(n)),
+            worst_case_claim(format!("after {sides} has healed all agree"), &agreed, agreement_bound(n)),
         ]
     }
 
     fn check_standstill(&self, half_periods: u64) -> Vec<Claim> {
         let stops = self.stop(half_periods, None);
         let falsely_dead: usize = stops.iter().map(|stop| stop.falsely_dead).sum();
-        let back: Vec<u64> = stops.iter().map(|stop| stop.agreed_after).collect();
+        let agreed: Vec<u64> = stops.iter().map(|stop| stop.agreed_after).collect();
         let standstill = format!("one in five stood still for {}", format_periods(half_periods * T / 2));
         let claim = self.with_size(&format!("others held dead, {standstill}"));
         let runs = format!("{falsely_dead} times in {} runs", stops.len());
@@ -276,7 +276,7 @@
             Claim::new(claim, "none", runs, falsely_dead == 0),
             worst_case_claim(
                 self.with_size(&format!("all agree after {standstill}")),
-                &back,
+                &agreed,
                 agreement_bound(self.n),
             ),
         ]
@@ -287,14 +287,14 @@
             (experiments::mixed_faults(fleet, 0.0), experiments::mixed_faults(fleet, REPLAYED_SHARE))
         });
         let differ = pairs.iter().filter(|(without, with)| without.0 != with.0).count();
-        let dead: Vec<u64> = pairs.iter().map(|(_, with)| with.1).collect();
+        let dead_times: Vec<u64> = pairs.iter().map(|(_, with)| with.1).collect();
         let claim = "views in the end with one packet in five sent again later, and without";
         let equal = format!("{differ} of {} differ", pairs.len());
         let claims = vec![Claim::new(self.with_size(claim), "the same", equal, differ == 0)];
         let claim = self.with_size("a live member is held dead, one packet in five sent again later");
         claims
             .into_iter()
-            .chain([worst_case_claim(claim, &dead, bound_nanos(bounds::refutation_round, self.n))])
+            .chain([worst_case_claim(claim, &dead_times, bound_nanos(bounds::refutation_round, self.n))])
             .collect()
     }
 }
@@ -352,8 +352,9 @@
         let measured = format!("{:.1} of 1000 member-periods", 1000.0 * share);
         fails("pings through others", "suspicions at 10% loss keep their bound", measured, kept)
     };
-    let dead = fleets.for_each_fleet(|fleet| experiments::one_way_cut(fleet, Some(Disabled::Refutation)));
-    let dead = quantile(&dead, 1.0);
+    let dead_times =
+        fleets.for_each_fleet(|fleet| experiments::one_way_cut(fleet, Some(Disabled::Refutation)));
+    let dead_time = quantile(&dead_times, 1.0);
     let round = bound_nanos(bounds::refutation_round, n);
     let healed: Vec<u64> = fleets
         .split(n / 2, Some(Disabled::DeadMemberProbes))
@@ -370,8 +371,8 @@
         fails(
             "contradiction",
             "held dead for no longer than a round, links cut one way",
-            format_periods(dead),
-            dead <= round,
+            format_periods(dead_time),
+            dead_time <= round,
         ),
         suspected,
         fails("knocks", "all agree after an even split has healed", never, kept),
@@ -406,7 +407,8 @@
             let split = experiments::split_and_heal(&fleets.settled[0].0, n / 2, None);
             let pairs = (n * (n - 1)) as f64;
             let share = split.disagreements.iter().enumerate().take(160);
-            let points = share.map(|(i, astray)| (i as f64 / 4.0, 100.0 * *astray as f64 / pairs));
+            let points =
+                share.map(|(i, disagreeing)| (i as f64 / 4.0, 100.0 * *disagreeing as f64 / pairs));
             heals.push((format!("{n} members"), points.collect()));
         }
     }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -27,7 +27,7 @@
     let row = |name: &str, value: String| [name.to_owned(), value];
     vec![
         row("score", format!("{:.3}", f.score)),
-        row("service, whole day", format!("{:.3}", f.whole)),
+        row("service, whole run", format!("{:.3}", f.whole)),
         row("worst ten seconds", format!("{:.3}", f.worst_window)),
         row("worst class", format!("{:.3}", f.worst_class)),
         row("worst tenant within its quota", format!("{:.3}", f.worst_tenant)),
@@ -40,8 +40,8 @@
         row("wasted work", format!("{:.1}%", f.waste * 100.0)),
         row("failed late", format!("{:.1}%", f.late * 100.0)),
         row("new connections for each client", format!("{:.3}", f.connections)),
-        row("servers slowed by crowding", format!("{:.1}%", f.crowded * 100.0)),
-        row("cold servers pushed over", f.fallen.to_string()),
+        row("endpoints slowed by crowding", format!("{:.1}%", f.crowded * 100.0)),
+        row("overloaded cold endpoints", f.fallen.to_string()),
         row("time of those served, p50 and p99", format!("{:.0} ms, {:.0} ms", f.p50_ms, f.p99_ms)),
     ]
 }
@@ -167,7 +167,7 @@
         body += &lines("limits of the first tier's sidecars, summed", "s", &[("limit".into(), limits)]);
     }
     body += &lines(
-        "share of servers slowed by crowding",
+        "share of endpoints slowed by crowding",
         "s",
         &[("crowded".into(), over_time(seconds, |s| s.crowded))],
     );
@@ -179,8 +179,8 @@
             rows.iter().enumerate().map(|(i, s)| (i as f64, of(s))).collect()
         };
         body += &lines(
-            &format!("{}: load of each server against its capacity", tier.name),
-            "servers by capacity",
+            &format!("{}: load of each endpoint against its capacity", tier.name),
+            "endpoints by capacity",
             &[
                 ("capacity".into(), at(&|s| s.capacity)),
                 ("mean load".into(), at(&|s| s.worked / run_seconds)),
--- a/crates/lab/src/rig/view.rs
+++ b/crates/lab/src/rig/view.rs
@@ -93,9 +93,9 @@
 
     /// A counter by its name, such as `deaths` or `refused.key`, or `None` if it does not exist.
     pub fn counter(&self, name: &str) -> Option<u64> {
-        let mut words = name.split('.');
-        let first = self.counts.get(words.next()?)?;
-        words.try_fold(first, |value, word| value.get(word))?.as_u64()
+        let mut keys = name.split('.');
+        let first = self.counts.get(keys.next()?)?;
+        keys.try_fold(first, |value, key| value.get(key))?.as_u64()
     }
 }
 
--- a/crates/lab/src/scale/host/mod.rs
+++ b/crates/lab/src/scale/host/mod.rs
@@ -26,8 +26,8 @@
 impl FromStr for HostRole {
     type Err = String;
 
-    fn from_str(word: &str) -> Result<HostRole, String> {
-        match word {
+    fn from_str(name: &str) -> Result<HostRole, String> {
+        match name {
             "discovery" => Ok(HostRole::Discovery),
             "link" => Ok(HostRole::Link),
             "hollow" => Ok(HostRole::Hollow),
--- a/crates/lab/src/scale/procfs.rs
+++ b/crates/lab/src/scale/procfs.rs
@@ -61,7 +61,7 @@
 /// The load average of the last minute.
 pub fn load_average() -> io::Result<f64> {
     let text = fs::read_to_string("/proc/loadavg")?;
-    let first = text.split_whitespace().next().and_then(|word| word.parse().ok());
+    let first = text.split_whitespace().next().and_then(|field| field.parse().ok());
     first.ok_or_else(|| unexpected_format("loadavg"))
 }
 
--- a/crates/lab/src/scenario/check.rs
+++ b/crates/lab/src/scenario/check.rs
@@ -4,7 +4,7 @@
 use cottonpoint_file::{Fault, TomlText};
 use std::fmt;
 
-/// Checks values and reports faults with their place in the file.
+/// Checks values and reports faults with their location in the file.
 pub(super) struct Checker<'a>(pub(super) &'a TomlText);
 
 impl Checker<'_> {
--- a/crates/lab/src/soak/addresses/tests.rs
+++ b/crates/lab/src/soak/addresses/tests.rs
@@ -3,7 +3,7 @@
 /// Guards against traffic of one run reaching another run on a port that a stand-in no longer uses.
 ///
 /// Soak 9225 reported eight attempts whose time left exceeded that of their clients; their ids and
-/// times belonged to another run. Three runs had been played concurrently on 127.0.0.1 with ports
+/// times belonged to another run. Three runs had been executed concurrently on 127.0.0.1 with ports
 /// chosen by the system, and when an endpoint crashed in one run, another run was given its port.
 #[test]
 fn concurrent_runs_share_no_address() {
--- a/crates/lab/src/soak/endpoint.rs
+++ b/crates/lab/src/soak/endpoint.rs
@@ -1,5 +1,5 @@
-//! An endpoint stand-in of a soak. It works for a random time on each request, misbehaves as it is
-//! told to, and records each attempt.
+//! An endpoint stand-in of a soak. It works for a random time on each request, misbehaves as
+//! instructed, and records each attempt.
 
 use super::addresses;
 use super::discovery::reset;
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -35,7 +35,7 @@
     pub logs: Option<PathBuf>,
 }
 
-/// Plays all runs and prints the results; returns whether no invariant was violated.
+/// Executes all runs and prints the results; returns whether no invariant was violated.
 pub fn run(arguments: &Arguments) -> io::Result<bool> {
     let (mut all_hold, mut failed_seeds) = (true, Vec::new());
     for seed in arguments.seed..arguments.seed.saturating_add(arguments.seeds.max(1)) {
@@ -49,7 +49,7 @@
             failed_seeds.push(seed);
         }
     }
-    let played = arguments.seeds.max(1);
-    println!("soak: {played} seeds played, {} broke an invariant {failed_seeds:?}", failed_seeds.len());
+    let runs = arguments.seeds.max(1);
+    println!("soak: {runs} seeds run, {} broke an invariant {failed_seeds:?}", failed_seeds.len());
     Ok(all_hold)
 }
--- a/crates/lab/src/soak/play.rs
+++ b/crates/lab/src/soak/play.rs
@@ -61,7 +61,7 @@
     finished: Cell<bool>,
 }
 
-/// Plays a plan in real time.
+/// Executes a plan in real time.
 pub fn play(plan: &Plan, arguments: &Arguments) -> io::Result<Records> {
     let executor: Executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(run(plan, arguments, executor.clone())))
--- a/crates/lab/src/soak/report.rs
+++ b/crates/lab/src/soak/report.rs
@@ -1,5 +1,5 @@
 //! The output of a soak: one line per run and, for a run that fails, its timeline and the command
-//! that plays it again.
+//! that repeats it.
 
 use super::Arguments;
 use super::oracle::Violation;
@@ -21,8 +21,8 @@
     let goodput = if all == 0 { 1.0 } else { polls.answered.count as f64 / all as f64 };
     let list_expiries: u64 = records.members.iter().map(|member| member.list_expiries).sum();
     format!(
-        "seed {}: {} processes in {} places, {} requests, {} served, {} refused, {} failed, {} left; {} attempts; polls {} \
-         answered, {} turned away, {} in outages (goodput {goodput:.2}); lists expired {list_expiries} times; \
+        "seed {}: {} processes of {} members, {} requests, {} served, {} refused, {} failed, {} left; {} attempts; polls {} \
+         answered, {} rejected, {} in outages (goodput {goodput:.2}); lists expired {list_expiries} times; \
          stand-ins late by {:?} at most; {} breaches\n",
         plan.seed,
         records.members.len(),
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -234,7 +234,7 @@
         }
     }
 
-    /// The client of a request has gone: notifies the decider unless the request is already
+    /// The client of a request has disconnected: notifies the decider unless the request is already
     /// answered.
     pub(super) fn client_gone(&mut self, request: RequestKey) {
         let Some(f) = self.requests.get_mut(request).filter(|f| !f.answered) else { return };
--- a/crates/lab/src/world/troubles.rs
+++ b/crates/lab/src/world/troubles.rs
@@ -43,8 +43,8 @@
                 }
                 _ => self.choose_affected(t, &mut draw),
             };
-            let words = format!("{:?} of tier {} strikes {affected:?}", t.what, t.tier);
-            self.statistics.record_event(self.now, words);
+            let description = format!("{:?} of tier {} affects {affected:?}", t.what, t.tier);
+            self.statistics.record_event(self.now, description);
             self.begin_trouble(number, t, &affected, size, length, &mut draw);
             self.affected.insert(number, affected);
         } else {
--- a/crates/lab/src/world/work.rs
+++ b/crates/lab/src/world/work.rs
@@ -98,10 +98,10 @@
         if sidecar_state.subscribed || !self.scenario.discovery.asked {
             return;
         }
-        let gone =
+        let not_ready =
             self.registry[sidecar_state.tier].get(&endpoint).is_none_or(|l| l.0 != EndpointState::Ready);
         let within = self.scenario.rules.ask_within.0 * if sidecar_state.poll_failed { 4 } else { 1 };
-        if let Some(&listed) = self.listed_at.get(&endpoint).filter(|_| gone) {
+        if let Some(&listed) = self.listed_at.get(&endpoint).filter(|_| not_ready) {
             let notified_at = listed.max(sidecar_state.last_list_at) + within;
             self.rules.check_unready_send(self.now, notified_at, endpoint);
         }
--- a/crates/lab/tests/fleet_peers.rs
+++ b/crates/lab/tests/fleet_peers.rs
@@ -42,8 +42,8 @@
 
 fn crash(members: usize, crashes: usize) {
     let mut fleet = running_fleet(members, 1);
-    let rest = idle_bytes_per_second(&fleet);
-    println!("{members} members: {rest:.0} bytes/s sent by each when idle, in the mean");
+    let idle_rate = idle_bytes_per_second(&fleet);
+    println!("{members} members: {idle_rate:.0} bytes/s sent by each when idle, in the mean");
 
     let (mut dead, mut all, limit) = (Vec::new(), Vec::new(), detection_bound(&fleet));
     for victim in members / 2..members / 2 + crashes {
@@ -165,12 +165,14 @@
     // round.
     let limit = detection_bound(&fleet) + PERIOD * members as u32;
     let sides = |member: usize, view: &FleetView| {
-        let (part, there) = match small.contains(&member) {
+        let (partition, own_side) = match small.contains(&member) {
             true => (PartitionStatus::Minority, small),
             false => (PartitionStatus::Majority, large),
         };
-        let here = |m| if there.contains(&m) { MemberState::Reachable } else { MemberState::LastKnown };
-        view.partition == part && rest.iter().all(|&m| view.state_of(fleet.name(m)) == Some(here(m)))
+        let expected_state =
+            |m| if own_side.contains(&m) { MemberState::Reachable } else { MemberState::LastKnown };
+        view.partition == partition
+            && rest.iter().all(|&m| view.state_of(fleet.name(m)) == Some(expected_state(m)))
     };
     let times = wait_until_all(&fleet, &rest, begun, limit, sides).expect("each side reports its part");
     println!("{members} members: each side reported its part within {:?}", quantile(&times, 1.0));
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -89,9 +89,9 @@
 /// `/proc/PID/stat`.
 #[test]
 fn processor_ticks_are_parsed_after_any_process_name() {
-    let words = "S 1 2 3 4 5 6 7 8 9 10 40 2 13 14 20 0 1";
+    let fields = "S 1 2 3 4 5 6 7 8 9 10 40 2 13 14 20 0 1";
     for name in ["cottonpoint-lab", "a b", "a) S 1 (b", ""] {
-        assert_eq!(processor_ticks(&format!("77 ({name}) {words}")), Some(42), "{name}");
+        assert_eq!(processor_ticks(&format!("77 ({name}) {fields}")), Some(42), "{name}");
     }
     for text in ["", "77 (x", "77 (x) S 1 2", "77 (x) S 1 2 3 4 5 6 7 8 9 10 many 2"] {
         assert_eq!(processor_ticks(text), None, "{text}");
@@ -234,9 +234,9 @@
     assert!(new_list_phase(10, 374).is_err(), "a change too short");
 }
 
-fn scale(words: &[&str], out: &Path) -> Command {
+fn scale(arguments: &[&str], out: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cottonpoint-lab"));
-    command.arg("scale").args(words).arg("--out").arg(out).stdin(Stdio::null());
+    command.arg("scale").args(arguments).arg("--out").arg(out).stdin(Stdio::null());
     command
 }
 
@@ -283,7 +283,7 @@
         let Ok(pid) = entry.file_name().to_string_lossy().parse::<u32>() else { continue };
         let stat = fs::read_to_string(entry.path().join("stat")).unwrap_or_default();
         let after_name = stat.rsplit_once(')').map(|(_, after_name)| after_name).unwrap_or_default();
-        if after_name.split_whitespace().nth(1).and_then(|word| word.parse().ok()) == Some(parent) {
+        if after_name.split_whitespace().nth(1).and_then(|field| field.parse().ok()) == Some(parent) {
             found.push(pid);
         }
     }
--- a/crates/lab/tests/scenarios.rs
+++ b/crates/lab/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenario files and stored results: faults are reported with their place, and no result is lost.
+//! Scenario files and stored results: faults are reported with their location, and no result is lost.
 #![allow(missing_docs)]
 
 use cottonpoint_lab::experiment::{Outcome, play};
@@ -29,7 +29,7 @@
     assert!(count >= 10);
 }
 
-/// Guards against an invalid value that is accepted, or rejected without its place in the file.
+/// Guards against an invalid value that is accepted, or rejected without its location in the file.
 #[test]
 fn fault_message_names_file_line_and_key() {
     let calm = calm();
@@ -61,11 +61,11 @@
 /// Guards against a stored run that is lost or duplicated, and a damaged store that is read as an
 /// empty one.
 #[test]
-fn stored_runs_are_replaced_by_name_and_read_back() {
+fn stored_runs_are_replaced_by_key_and_read_back() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("kept-runs");
     let _ = std::fs::remove_dir_all(&folder);
     let scenario = Scenario::parse("calm.toml", &calm()).expect("good");
-    let name = |seed| RunKey {
+    let key = |seed| RunKey {
         code: "0.1.0-test".into(),
         scenario: "calm".into(),
         digest: "0".into(),
@@ -73,7 +73,7 @@
         seed,
     };
     let row =
-        |seed| StoredRun { key: name(seed), outcome: Outcome::from(play(&scenario, seed, Policy::Ours)) };
+        |seed| StoredRun { key: key(seed), outcome: Outcome::from(play(&scenario, seed, Policy::Ours)) };
     let (one, two) = (row(1), row(2));
     let open = || Store::open(&folder);
     open().and_then(|mut s| s.keep([one.clone(), two.clone()])).expect("kept");
