--- a/crates/lab/src/commands/mod.rs
+++ b/crates/lab/src/commands/mod.rs
@@ -7,7 +7,7 @@
 mod results;
 mod scale;
 
-use crate::{Command, Day, Form};
+use crate::{Command, Form, RunArguments};
 use cottonpoint_file::TomlText;
 use cottonpoint_lab::experiment::{self, Outcome};
 use cottonpoint_lab::live;
@@ -78,7 +78,7 @@
 /// Executes a command. Returns false if a check of the command failed.
 pub(crate) fn execute(command: Command) -> CommandResult<bool> {
     match command {
-        Command::Run { day, form } => run(&day, form),
+        Command::Run { run_arguments, form } => run(&run_arguments, form),
         Command::Compare { seeds, set, form, a, b, scenarios } => {
             compare::compare_policies(&a, &b, &scenarios, &set, seeds, form)
         }
@@ -88,8 +88,8 @@
         Command::Hunt { tries, policy, out, form, scenario } => {
             hunt::hunt(&scenario, &policy, tries, &out, form)
         }
-        Command::Report { out, day } => write_report(&day, &out),
-        Command::Trace { day, client } => trace(&day, client),
+        Command::Report { out, run_arguments } => write_report(&run_arguments, &out),
+        Command::Trace { run_arguments, client } => trace(&run_arguments, client),
         Command::League { seeds, out, policy, scenarios } => {
             league::league(&scenarios, &policy, seeds, &out)
         }
@@ -116,13 +116,13 @@
     }
 }
 
-fn run(day: &Day, form: Form) -> CommandResult<bool> {
-    let loaded = load_scenario(&day.scenario, &day.set)?;
-    let policy: Policy = day.policy.parse()?;
-    let result = experiment::play(&loaded.scenario, day.seed, policy);
+fn run(arguments: &RunArguments, form: Form) -> CommandResult<bool> {
+    let loaded = load_scenario(&arguments.scenario, &arguments.set)?;
+    let policy: Policy = arguments.policy.parse()?;
+    let result = experiment::play(&loaded.scenario, arguments.seed, policy);
     let breaches = result.breaches.clone();
     let outcome = Outcome::from(result);
-    let run = stored_run(&loaded, day.seed, policy, outcome.clone());
+    let run = stored_run(&loaded, arguments.seed, policy, outcome.clone());
     store_runs(vec![run.clone()])?;
     if form.json {
         print_json(&run)?;
@@ -135,23 +135,23 @@
     Ok(outcome.breaches == 0)
 }
 
-fn write_report(day: &Day, out: &Path) -> CommandResult<bool> {
-    let loaded = load_scenario(&day.scenario, &day.set)?;
-    let policy: Policy = day.policy.parse()?;
-    let result = experiment::play(&loaded.scenario, day.seed, policy);
+fn write_report(arguments: &RunArguments, out: &Path) -> CommandResult<bool> {
+    let loaded = load_scenario(&arguments.scenario, &arguments.set)?;
+    let policy: Policy = arguments.policy.parse()?;
+    let result = experiment::play(&loaded.scenario, arguments.seed, policy);
     if let Some(folder) = out.parent() {
         fs::create_dir_all(folder)?;
     }
-    fs::write(out, report::page(&loaded.scenario, day.seed, &policy.to_string(), &result))?;
+    fs::write(out, report::page(&loaded.scenario, arguments.seed, &policy.to_string(), &result))?;
     println!("{}", out.display());
     Ok(true)
 }
 
-fn trace(day: &Day, client: u64) -> CommandResult<bool> {
-    let loaded = load_scenario(&day.scenario, &day.set)?;
-    let policy: Policy = day.policy.parse()?;
+fn trace(arguments: &RunArguments, client: u64) -> CommandResult<bool> {
+    let loaded = load_scenario(&arguments.scenario, &arguments.set)?;
+    let policy: Policy = arguments.policy.parse()?;
     let make_decider = move |settings, seed, now| policy.make(settings, seed, now);
-    let result = World::new(&loaded.scenario, day.seed, &make_decider).trace(client).play();
+    let result = World::new(&loaded.scenario, arguments.seed, &make_decider).trace(client).play();
     if result.trace.is_empty() {
         return Err(
             format!("there is no client {client}: {} clients arrived", result.statistics.arrived).into()
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -16,7 +16,7 @@
         #[bpaf(external)]
         form: Form,
         #[bpaf(external)]
-        day: Day,
+        run_arguments: RunArguments,
     },
     /// Compare two policies on the same scenarios and seeds, run by run
     #[bpaf(command)]
@@ -81,13 +81,13 @@
         #[bpaf(long, argument("FILE"), fallback(PathBuf::from("lab/results/report.html")), debug_fallback)]
         out: PathBuf,
         #[bpaf(external)]
-        day: Day,
+        run_arguments: RunArguments,
     },
     /// Print all events of one client, given by its number
     #[bpaf(command)]
     Trace {
         #[bpaf(external)]
-        day: Day,
+        run_arguments: RunArguments,
         /// The client's number, from 0
         #[bpaf(positional("CLIENT"))]
         client: u64,
@@ -240,7 +240,7 @@
 
 /// What determines one run: a scenario, a seed and a policy.
 #[derive(Clone, Debug, Bpaf)]
-pub(crate) struct Day {
+pub(crate) struct RunArguments {
     /// The seed
     #[bpaf(long, argument("N"), fallback(1), display_fallback)]
     seed: u64,
