--- a/crates/program/tests/config.rs
+++ b/crates/program/tests/config.rs
@@ -1,9 +1,9 @@
 //! The configuration: each fault is reported in one line that names its key.
 #![allow(missing_docs)]
 
-#[path = "sidecar/peers.rs"]
+#[path = "sidecar/harness.rs"]
 #[allow(dead_code)]
-mod peers;
+mod harness;
 
 use cottonpoint::config::Config;
 use insta::assert_snapshot;
@@ -74,7 +74,7 @@
 
 /// The valid configuration in which the faults are made.
 fn valid() -> String {
-    peers::config_json("127.0.0.1:8500".parse().unwrap(), "null", 1024)
+    harness::config_json("127.0.0.1:8500".parse().unwrap(), "null", 1024)
 }
 
 fn invalid_texts() -> impl Iterator<Item = (&'static str, String)> {
@@ -171,9 +171,9 @@
         program.stderr(Stdio::piped());
         program
     };
-    let (endpoint, discovery) = (peers::ScriptedServer::new(), peers::ScriptedServer::new());
-    let known = peers::list_json(1, true, &[peers::instance_json("t0", endpoint.address, "active")]);
-    std::fs::write(&file, peers::config_json(discovery.address, &known, 1024)).unwrap();
+    let (endpoint, discovery) = (harness::ScriptedServer::new(), harness::ScriptedServer::new());
+    let known = harness::list_json(1, true, &[harness::instance_json("t0", endpoint.address, "active")]);
+    std::fs::write(&file, harness::config_json(discovery.address, &known, 1024)).unwrap();
     let requests = endpoint.echo_requests();
     let mut sidecar = Process(program("serve").spawn().unwrap());
     let log = BufReader::new(sidecar.0.stderr.take().unwrap()).lines();
@@ -195,8 +195,8 @@
             find_line("invalid configuration ignored; the previous one stays in force")["fault"],
             fault.as_str()
         );
-        peers::send(&mut client, peers::LOOK);
-        assert!(peers::read_message(&mut client).starts_with("HTTP/1.1 200"), "{change}");
+        harness::send(&mut client, harness::LOOK);
+        assert!(harness::read_message(&mut client).starts_with("HTTP/1.1 200"), "{change}");
         assert!(requests.recv().unwrap().starts_with("GET /look"), "{change}");
     }
     kill_process(Pid::from_child(&sidecar.0), Signal::TERM).unwrap();
@@ -235,8 +235,8 @@
 #[test]
 fn missing_keys_have_defaults() {
     let discovery = "127.0.0.1:8500".parse().unwrap();
-    let known = peers::list_json(41, false, &[peers::instance_json("t0", discovery, "active")]);
-    let text = peers::config_json(discovery, &known, 1024);
+    let known = harness::list_json(41, false, &[harness::instance_json("t0", discovery, "active")]);
+    let text = harness::config_json(discovery, &known, 1024);
     let text = text
         .replace("\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",", "")
         .replace("\"sockets\":1024", "\"cpus\":1");
--- a/crates/program/tests/fleet.rs
+++ b/crates/program/tests/fleet.rs
@@ -1,11 +1,11 @@
 //! The fleet, as processes of the program on loopback.
 #![allow(missing_docs)]
 
-#[path = "sidecar/peers.rs"]
+#[path = "sidecar/harness.rs"]
 #[allow(dead_code)]
-mod peers;
+mod harness;
 
-use peers::{config_json, console_command, read_message, send};
+use harness::{config_json, console_command, read_message, send};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
--- a/crates/program/tests/operator.rs
+++ b/crates/program/tests/operator.rs
@@ -1,17 +1,17 @@
 //! The operator's file, the command line and the metrics.
 #![allow(missing_docs)]
 
-#[path = "sidecar/peers.rs"]
+#[path = "sidecar/harness.rs"]
 #[allow(dead_code)]
-mod peers;
+mod harness;
 
 use cottonpoint::config::Config;
 use cottonpoint::operator::OperatorConfig;
 use cottonpoint::serve::{self, ControlEvent};
 use cottonpoint_file::TomlText;
 use cottonpoint_mesh::seal::Key;
+use harness::{LOOK, ScriptedServer, config_json, instance_json, list_json, listen, read_message, send};
 use insta::assert_snapshot;
-use peers::{LOOK, ScriptedServer, config_json, instance_json, list_json, listen, read_message, send};
 use std::net::TcpStream;
 
 /// Guards against an example whose values are not the defaults, or that the program would not
--- a/crates/program/tests/sidecar/forwards.rs
+++ b/crates/program/tests/sidecar/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts at endpoints: what is sent, what is returned, and whether the connection is used after
 //! that.
 
-use crate::peers::*;
+use crate::harness::*;
 use insta::assert_snapshot;
 use std::io::Write;
 use std::net::Shutdown;
--- a/crates/program/tests/sidecar/clients.rs
+++ b/crates/program/tests/sidecar/clients.rs
@@ -1,6 +1,6 @@
 //! Clients: invalid input, slow and silent senders, connections that make room for each other.
 
-use crate::peers::*;
+use crate::harness::*;
 use insta::assert_snapshot;
 use std::io::Write;
 
--- a/crates/program/tests/sidecar/closing.rs
+++ b/crates/program/tests/sidecar/closing.rs
@@ -1,6 +1,6 @@
 //! The end of a connection, and bytes that arrive at that moment.
 
-use crate::peers::*;
+use crate::harness::*;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
--- a/crates/program/tests/sidecar/console.rs
+++ b/crates/program/tests/sidecar/console.rs
@@ -1,6 +1,6 @@
 //! The console on its own address: statistics, disabled endpoints, drains.
 
-use crate::peers::*;
+use crate::harness::*;
 use std::io::Read;
 use std::net::TcpStream;
 use std::time::Duration;
--- a/crates/program/tests/sidecar/crossing.rs
+++ b/crates/program/tests/sidecar/crossing.rs
@@ -8,7 +8,7 @@
 //! as known to the sidecar.
 
 use crate::embedded::Embedded;
-use crate::peers::*;
+use crate::harness::*;
 use async_io::Timer;
 use cottonpoint::net::list::DiscoveryAddress;
 use cottonpoint::sidecar::endpoint_id;
--- a/crates/program/tests/sidecar/descriptors.rs
+++ b/crates/program/tests/sidecar/descriptors.rs
@@ -1,6 +1,6 @@
 //! Descriptors: idle clients that use them up, and those reserved for everything else.
 
-use crate::peers::*;
+use crate::harness::*;
 use crate::program::Program;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
--- a/crates/program/tests/sidecar/gone.rs
+++ b/crates/program/tests/sidecar/disconnects.rs
@@ -2,9 +2,9 @@
 //! them. The sidecar is a process of its own that is suspended (SIGSTOP) while the close and the
 //! event that releases the request both arrive, the latter first.
 
-use crate::peers::*;
+use crate::harness::*;
 use crate::program::{Program, with_long_timeouts};
-use crate::repeats::{constrained_listener, reset_connection};
+use crate::retries::{constrained_listener, reset_connection};
 use std::io::Write;
 use std::net::TcpStream;
 use std::sync::mpsc::channel;
--- a/crates/program/tests/sidecar/discovery.rs
+++ b/crates/program/tests/sidecar/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery and reloads: the list is followed, survives faults, and is requested from another
 //! address.
 
-use crate::peers::*;
+use crate::harness::*;
 use insta::assert_snapshot;
 use std::io::Write;
 
--- a/crates/program/tests/sidecar/embedded.rs
+++ b/crates/program/tests/sidecar/embedded.rs
@@ -1,6 +1,6 @@
 //! The parts of a sidecar on an executor that the test drives: none of them runs in between.
 
-use crate::peers::*;
+use crate::harness::*;
 use async_executor::LocalExecutor;
 use cottonpoint::config::Config;
 use cottonpoint::net::list::{DiscoveryAddress, NameTable, Watcher};
--- a/crates/program/tests/sidecar/endpoints.rs
+++ b/crates/program/tests/sidecar/endpoints.rs
@@ -1,8 +1,8 @@
 //! Endpoints that are late, early, endless or send more than they should, and whether their
 //! connections are used after that.
 
-use crate::peers::*;
-use crate::repeats::*;
+use crate::harness::*;
+use crate::retries::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::thread;
--- a/crates/program/tests/sidecar/floods.rs
+++ b/crates/program/tests/sidecar/floods.rs
@@ -1,6 +1,6 @@
 //! Floods: clients that send a lot, partial requests, nothing, or too often, beside normal ones.
 
-use crate::peers::*;
+use crate::harness::*;
 use crate::program::Program;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
--- a/crates/program/tests/sidecar/late.rs
+++ b/crates/program/tests/sidecar/late.rs
@@ -1,9 +1,9 @@
 //! Events that are too late or too early: bytes before a request's last one, second answers,
 //! connections after a window.
 
-use crate::peers::*;
+use crate::harness::*;
 use crate::program::{Program, with_long_timeouts};
-use crate::repeats::*;
+use crate::retries::*;
 use std::net::TcpStream;
 use std::thread;
 use std::time::{Duration, Instant};
--- a/crates/program/tests/sidecar/life.rs
+++ b/crates/program/tests/sidecar/lifecycle.rs
@@ -1,6 +1,6 @@
 //! The life cycle of a process: ready once it has a list, and the stop.
 
-use crate::peers::*;
+use crate::harness::*;
 use crate::program::create_pipe;
 use cottonpoint::serve::PidFile;
 use insta::assert_snapshot;
--- a/crates/program/tests/sidecar/list.rs
+++ b/crates/program/tests/sidecar/list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list on sockets: pushed lists, silent watches, and the forms in which lists arrive.
 
-use crate::peers::*;
+use crate::harness::*;
 use std::io::Write;
 use std::net::SocketAddr;
 
--- a/crates/program/tests/sidecar/local_faults.rs
+++ b/crates/program/tests/sidecar/local_faults.rs
@@ -5,8 +5,8 @@
 //! endpoint's.
 
 use crate::embedded::Embedded;
-use crate::peers::*;
-use crate::repeats::constrained_listener;
+use crate::harness::*;
+use crate::retries::constrained_listener;
 use cottonpoint::net::servers::OutgoingRequest;
 use cottonpoint::sidecar::{Decision, NewRequest};
 use cottonpoint::{ClassId, Outcome};
--- a/crates/program/tests/sidecar/main.rs
+++ b/crates/program/tests/sidecar/main.rs
@@ -2,22 +2,22 @@
 //! each failure that it guards against.
 #![allow(missing_docs)]
 
+mod attempts;
 mod clients;
 mod closing;
 mod console;
 mod crossing;
 mod descriptors;
+mod disconnects;
 mod discovery;
 mod embedded;
 mod endpoints;
 mod floods;
-mod forwards;
-mod gone;
+mod harness;
 mod late;
-mod life;
+mod lifecycle;
 mod list;
 mod local_faults;
-mod peers;
 mod program;
-mod repeats;
+mod retries;
 mod stop;
--- a/crates/program/tests/sidecar/program.rs
+++ b/crates/program/tests/sidecar/program.rs
@@ -1,7 +1,7 @@
 //! The built program as a process of its own, for tests that concern the process: its descriptors
 //! and its memory.
 
-use crate::peers::{read_message, send};
+use crate::harness::{read_message, send};
 use rustix::process::{Pid, Signal, WaitOptions, kill_process, waitpid};
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/program/tests/sidecar/repeats.rs
+++ b/crates/program/tests/sidecar/retries.rs
@@ -1,7 +1,7 @@
 //! Retries of a request: after which outcomes, until when, at which endpoints, and never two
 //! attempts at once.
 
-use crate::peers::*;
+use crate::harness::*;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/program/tests/sidecar/stop.rs
+++ b/crates/program/tests/sidecar/stop.rs
@@ -1,7 +1,7 @@
 //! After the stop event: which clients are still served, which are refused, and what is waited for
 //! at the end.
 
-use crate::peers::*;
+use crate::harness::*;
 use crate::program::create_pipe;
 use cottonpoint::config::Config;
 use cottonpoint::serve::{self, ControlEvent};
