--- a/crates/codec/src/http.rs
+++ b/crates/codec/src/http.rs
@@ -91,8 +91,8 @@
     }
 
     /// Whether the comma-separated values of a header contain a token.
-    pub fn has(&self, name: &str, word: &str) -> bool {
-        self.all(name).flat_map(|v| v.split(',')).any(|w| w.trim().eq_ignore_ascii_case(word))
+    pub fn has(&self, name: &str, token: &str) -> bool {
+        self.all(name).flat_map(|v| v.split(',')).any(|t| t.trim().eq_ignore_ascii_case(token))
     }
 
     /// Whether the connection persists after this message, which states HTTP version `version`.
--- a/crates/core/src/admit.rs
+++ b/crates/core/src/admit.rs
@@ -35,9 +35,10 @@
             RequestState { settings_version, decisions: sender, attempts: Vec::new(), closed: false };
         core.requests.insert(id, entry);
         drop(core);
-        let call = Request { id, class: new.class, tenant: new.tenant, deadline: new.deadline, cost: None };
+        let request =
+            Request { id, class: new.class, tenant: new.tenant, deadline: new.deadline, cost: None };
         self.counts.count_admitted();
-        self.feed(Event::Arrived(call));
+        self.feed(Event::Arrived(request));
         RequestHandle { sidecar: self.clone(), id, decisions }
     }
 }
--- a/crates/core/src/lease/tests.rs
+++ b/crates/core/src/lease/tests.rs
@@ -191,11 +191,11 @@
 /// draining server).
 #[test]
 fn only_an_answer_renews_an_expired_lease() {
-    let asked = Timeline::begin(ON_REQUEST).watch(5000);
-    assert!(asked.0.is_valid(at(6299)));
-    assert!([6300, 7500, 9000, 14_000].iter().all(|ms| !asked.0.is_valid(at(*ms))));
-    assert_eq!(asked.0.next_change(at(6300)), None);
-    let broken = asked.then(9000, PollEvent::Inconclusive);
+    let on_request = Timeline::begin(ON_REQUEST).watch(5000);
+    assert!(on_request.0.is_valid(at(6299)));
+    assert!([6300, 7500, 9000, 14_000].iter().all(|ms| !on_request.0.is_valid(at(*ms))));
+    assert_eq!(on_request.0.next_change(at(6300)), None);
+    let broken = on_request.then(9000, PollEvent::Inconclusive);
     assert!(!broken.0.is_valid(at(9000)));
     let silent = Timeline::begin(ON_REQUEST).watch(5000).then(16_100, PollEvent::TimedOut);
     assert!(!silent.0.is_valid(at(16_100)));
@@ -206,9 +206,9 @@
 /// accepted.
 #[test]
 fn watch_counts_once_it_can_no_longer_be_queued() {
-    let asked = Timeline::begin(ON_REQUEST).watch(3000);
-    assert_eq!([3000, 5499, 5500].map(|ms| asked.expires_seen_at(ms)), [6300, 6300, 15_300]);
-    let changes = [3000, 5500, 15_300].map(|ms| asked.0.next_change(at(ms)));
+    let on_request = Timeline::begin(ON_REQUEST).watch(3000);
+    assert_eq!([3000, 5499, 5500].map(|ms| on_request.expires_seen_at(ms)), [6300, 6300, 15_300]);
+    let changes = [3000, 5500, 15_300].map(|ms| on_request.0.next_change(at(ms)));
     assert_eq!(changes, [Some(at(5500)), Some(at(15_300)), None]);
     // A watch that directly follows another has been accepted, and so has any watch at an agent.
     let follows = Timeline::begin(ON_REQUEST).watch(0).answered(4000).watch(4000);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -190,7 +190,7 @@
             let core = self.core.borrow();
             match &event {
                 Event::Endpoints { .. } | Event::DiscoveryFailed => None,
-                Event::Arrived(call) => core.requests.get(&call.id).map(|e| e.settings_version),
+                Event::Arrived(request) => core.requests.get(&request.id).map(|e| e.settings_version),
                 Event::Finished { id, .. } | Event::StreamStarted { id } | Event::ClientGone { id } => {
                     Some(
                         core.requests
--- a/crates/core/src/stop.rs
+++ b/crates/core/src/stop.rs
@@ -113,14 +113,14 @@
         for (longest, last) in
             [(ms(6000), ms(3400)), (ms(3000), ms(3400)), (ms(500), ms(900)), (ms(0), ms(400))]
         {
-            let stop = Shutdown::new(REQUESTED_AT, longest);
+            let shutdown = Shutdown::new(REQUESTED_AT, longest);
             assert_eq!(
-                stop.deadline(REQUESTED_AT + ms(60_000)),
+                shutdown.deadline(REQUESTED_AT + ms(60_000)),
                 REQUESTED_AT + last,
                 "deadline {longest:?}"
             );
-            assert_eq!(stop.deadline(REQUESTED_AT + ms(100)), REQUESTED_AT + ms(100));
-            assert_eq!(stop.closes_connections_at(), REQUESTED_AT + last.saturating_sub(ms(1000)));
+            assert_eq!(shutdown.deadline(REQUESTED_AT + ms(100)), REQUESTED_AT + ms(100));
+            assert_eq!(shutdown.closes_connections_at(), REQUESTED_AT + last.saturating_sub(ms(1000)));
         }
     }
 
@@ -129,12 +129,12 @@
     /// between.
     #[test]
     fn spare_connections_are_kept_free_once_new_ones_stop_arriving() {
-        let stop = Shutdown::new(REQUESTED_AT, ms(3000));
-        let refuses = |after, free, busy| stop.refusal(REQUESTED_AT + ms(after), free, busy).is_some();
+        let shutdown = Shutdown::new(REQUESTED_AT, ms(3000));
+        let refuses = |after, free, busy| shutdown.refusal(REQUESTED_AT + ms(after), free, busy).is_some();
         let at = |after| refuses(after, 2, 10);
         assert!(!at(99) && at(100) && at(2399) && !at(2400));
         assert!(!refuses(1000, 3, 9) && !refuses(1000, 3, 97), "three connections are free");
-        let closing = stop.close_connections_by(REQUESTED_AT + ms(50));
+        let closing = shutdown.close_connections_by(REQUESTED_AT + ms(50));
         assert_eq!(closing.refusal(REQUESTED_AT + ms(200), 0, 12), None, "a newer process serves them");
         assert!(
             !refuses(1000, 0, 3) && refuses(1000, 0, 4) && !refuses(1000, 1, 3),
@@ -145,10 +145,11 @@
     /// Guards against: ending while new connections may still arrive, or while one is open.
     #[test]
     fn shutdown_is_complete_once_no_connection_arrives_or_is_open() {
-        let stop = Shutdown::new(REQUESTED_AT, ms(3000));
+        let shutdown = Shutdown::new(REQUESTED_AT, ms(3000));
         assert!(
-            !stop.is_complete(REQUESTED_AT + ms(699), 0) && stop.is_complete(REQUESTED_AT + ms(700), 0)
+            !shutdown.is_complete(REQUESTED_AT + ms(699), 0)
+                && shutdown.is_complete(REQUESTED_AT + ms(700), 0)
         );
-        assert!(!stop.is_complete(REQUESTED_AT + ms(9000), 1));
+        assert!(!shutdown.is_complete(REQUESTED_AT + ms(9000), 1));
     }
 }
--- a/crates/decide/src/interface/settings.rs
+++ b/crates/decide/src/interface/settings.rs
@@ -13,7 +13,8 @@
     /// The zone that this balancer runs in.
     pub zone: ZoneId,
     /// Whether requests come directly from clients, whose retries have only what is left of the
-    /// client timeout. Otherwise they come from servers that are themselves endpoints of balancers.
+    /// client timeout. Otherwise they come from processes that are themselves endpoints of
+    /// other balancers.
     pub from_clients: bool,
     /// Classes of requests, indexed by [`ClassId`](super::ClassId).
     pub classes: Vec<Class>,
--- a/crates/lab/src/scale/host/hollow.rs
+++ b/crates/lab/src/scale/host/hollow.rs
@@ -76,13 +76,13 @@
         let names = NameTable { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
         let (sidecar, subscriptions) =
             Sidecar::new(platform.balancer.clone(), config.seed, Clock::start(), self.executor.clone());
-        let servers = EndpointConnections::new(pool_settings(&config), self.executor.clone());
+        let endpoint_connections = EndpointConnections::new(pool_settings(&config), self.executor.clone());
         // The balancer starts with its first event.
         sidecar.apply_list(ListKind::Full, &[]);
         let (change_sender, discovery_changes) = async_channel::bounded(1);
         let watcher = Watcher {
             sidecar: sidecar.clone(),
-            servers,
+            endpoint_connections,
             discovery: DiscoveryAddress { address: config.discovery, pushed: false },
             names,
             generation: None,
--- a/crates/net/src/clients/flow.rs
+++ b/crates/net/src/clients/flow.rs
@@ -27,21 +27,21 @@
         body: Vec<u8>,
     ) -> Option<Reply> {
         if head.line[1] == "/health/ready" {
-            let ready = !self.is_draining() && self.stop.get().is_none();
+            let ready = !self.is_draining() && self.shutdown.get().is_none();
             return Some(match ready && self.sidecar.has_endpoints() {
                 true => Reply::text(200, "ready"),
                 false => Reply::text(503, "not ready"),
             });
         }
-        let accepted = accept_request(&self.platform.borrow(), &head, body);
+        let accepted = accept_request(&self.settings.borrow(), &head, body);
         let accepted = match accepted {
             Ok(accepted) => accepted,
             Err(reply) => return Some(reply),
         };
         // A request needs a connection to an endpoint: where none may be left, a client retry does
         // no harm.
-        let at_limit = self.open_ids.borrow().len() >= self.servers.max_connections();
-        let at_limit = at_limit.then(|| self.platform.borrow().max_retry_after);
+        let at_limit = self.open_ids.borrow().len() >= self.endpoint_connections.max_connections();
+        let at_limit = at_limit.then(|| self.settings.borrow().max_retry_after);
         if let Some(retry_after) = at_limit.or_else(|| self.retry_after_to_spare_connections().map(Some)) {
             let reply = Reply::local(LocalReply::Refused { retry_after });
             self.count_final_response(&accepted.class_name, Some(&reply));
@@ -82,21 +82,21 @@
     }
 
     /// Returns a retry delay if the request would leave too few client connections free. Applies
-    /// before a stop only, while existing connections are served and no new ones arrive.
+    /// during a shutdown only, while existing connections are served and no new ones arrive.
     fn retry_after_to_spare_connections(&self) -> Option<Duration> {
         let (free, busy) = self.connection_counts();
-        self.stop.get()?.refusal(self.sidecar.clock().now(), free, busy)
+        self.shutdown.get()?.refusal(self.sidecar.clock().now(), free, busy)
     }
 
     /// Counts the final response to a request for its class; a request whose client has
     /// disconnected counts as failed.
     fn count_final_response(&self, class: &str, reply: Option<&Reply>) {
-        let fate = match reply.map(|r| r.status) {
+        let outcome = match reply.map(|r| r.status) {
             Some(200..=299) => RequestOutcome::Fulfilled,
             Some(429 | 503) => RequestOutcome::Throttled,
             _ => RequestOutcome::Faulted,
         };
-        self.sidecar.counts().count_request(class, fate);
+        self.sidecar.counts().count_request(class, outcome);
     }
 
     /// Processes an accepted request until it is answered.
@@ -109,8 +109,8 @@
         let clock = self.sidecar.clock();
         let class = accepted.class_name.as_str();
         let deadline = clock.now() + accepted.time_left.saturating_sub(RESPONSE_TRAVEL_TIME);
-        let deadline = self.stop.get().map_or(deadline, |stop| stop.deadline(deadline));
-        let flow =
+        let deadline = self.shutdown.get().map_or(deadline, |shutdown| shutdown.deadline(deadline));
+        let request =
             self.sidecar.admit(NewRequest { class: accepted.class, tenant: accepted.tenant, deadline });
         let monitor = ClientMonitor::new(stream, buffer);
         // Nothing new is started for a client that has disconnected, even if its close and the
@@ -118,18 +118,18 @@
         let client_waits = || {
             let client_gone = monitor.has_disconnected();
             if client_gone {
-                flow.abandon();
+                request.abandon();
             }
             !client_gone
         };
         let attempts = async {
             loop {
-                match flow.next_decision().await {
+                match request.next_decision().await {
                     Decision::Attempt(attempt) => {
                         let until = clock.instant(attempt.deadline);
                         let on_written = || self.sidecar.counts().relayed(class);
                         let (outcome, report, response) = self
-                            .servers
+                            .endpoint_connections
                             .send(&attempt, until, &accepted.outgoing, client_waits, on_written)
                             .await;
                         let endpoint = attempt.endpoint.address;
@@ -155,12 +155,12 @@
         };
         let departure = async {
             monitor.disconnected().await;
-            flow.abandon();
+            request.abandon();
             future::pending().await
         };
         let overdue = async {
             Timer::at(clock.instant(deadline + OVERDUE_GRACE)).await;
-            flow.abandon();
+            request.abandon();
             Some(Reply::local(LocalReply::Failed))
         };
         let reply = future::or(departure, future::or(attempts, overdue)).await;
--- a/crates/net/src/clients/mod.rs
+++ b/crates/net/src/clients/mod.rs
@@ -60,8 +60,8 @@
 /// The state shared by all client connections.
 pub struct Clients {
     sidecar: Rc<Sidecar>,
-    servers: Rc<EndpointConnections>,
-    platform: RefCell<DeploymentSettings>,
+    endpoint_connections: Rc<EndpointConnections>,
+    settings: RefCell<DeploymentSettings>,
     executor: Executor,
     /// The maximum number of open connections.
     max_connections: Cell<usize>,
@@ -75,8 +75,8 @@
     scarce: Cell<bool>,
     draining: Cell<bool>,
     stopping: Cell<bool>,
-    /// Set once the process has been told to stop and continues to serve for a while.
-    stop: Cell<Option<Shutdown>>,
+    /// Set once the process has received the stop event; it continues to serve for a while.
+    shutdown: Cell<Option<Shutdown>>,
     closed: (Sender<()>, Receiver<()>),
     stop_accepting: (Sender<()>, Receiver<()>),
 }
@@ -85,15 +85,15 @@
     /// Creates the state without connections.
     pub fn new(
         sidecar: Rc<Sidecar>,
-        servers: Rc<EndpointConnections>,
-        platform: DeploymentSettings,
+        endpoint_connections: Rc<EndpointConnections>,
+        settings: DeploymentSettings,
         executor: Executor,
         max_connections: usize,
     ) -> Rc<Clients> {
         Rc::new(Clients {
             sidecar,
-            servers,
-            platform: platform.into(),
+            endpoint_connections,
+            settings: settings.into(),
             executor,
             max_connections: Cell::new(max_connections),
             open: Cell::new(0),
@@ -103,7 +103,7 @@
             scarce: Cell::new(false),
             draining: Cell::new(false),
             stopping: Cell::new(false),
-            stop: Cell::new(None),
+            shutdown: Cell::new(None),
             closed: async_channel::bounded(1),
             stop_accepting: async_channel::bounded(1),
         })
@@ -147,7 +147,7 @@
                     if is_out_of_resources(&error) {
                         self.scarce.set(true);
                         self.evict_one(&EVICT_AT_MAXIMUM);
-                        self.servers.close_oldest_idle();
+                        self.endpoint_connections.close_oldest_idle();
                     }
                     // Any other error may persist: accepting neither spins on it nor ends.
                     Timer::after(delay).await;
@@ -170,8 +170,8 @@
     }
 
     /// Sets the classes, tenants and rules for requests that are accepted from now on.
-    pub fn set_platform(&self, platform: DeploymentSettings) {
-        *self.platform.borrow_mut() = platform;
+    pub fn set_platform(&self, settings: DeploymentSettings) {
+        *self.settings.borrow_mut() = settings;
     }
 
     /// Sets the maximum number of open connections.
@@ -179,21 +179,21 @@
         self.max_connections.set(max_connections);
     }
 
-    /// Starts the stop of the process: it reports not ready, but continues to serve the
-    /// connections that clients keep until [`Clients::close_after_next_response`]. Each new request has
-    /// the time of the stop's last answer as its latest deadline.
+    /// Starts the shutdown of the process: it reports not ready, but continues to serve the
+    /// connections that clients keep until [`Clients::close_after_next_response`]. The deadline
+    /// of each new request is at most the time of the last answer of the shutdown.
     pub fn stop(&self) -> Shutdown {
-        let classes = &self.platform.borrow().balancer.classes;
+        let classes = &self.settings.borrow().balancer.classes;
         let longest = classes.iter().map(|c| c.client_timeout).max().unwrap_or_default();
-        let stop = Shutdown::new(self.sidecar.clock().now(), longest);
-        self.stop.set(Some(stop));
-        stop
+        let shutdown = Shutdown::new(self.sidecar.clock().now(), longest);
+        self.shutdown.set(Some(shutdown));
+        shutdown
     }
 
     /// Reports not ready from now on, and closes each connection after its next response.
     pub fn close_after_next_response(&self) {
         let now = self.sidecar.clock().now();
-        self.stop.set(self.stop.get().map(|stop| stop.close_connections_by(now)));
+        self.shutdown.set(self.shutdown.get().map(|shutdown| shutdown.close_connections_by(now)));
         self.stopping.set(true);
     }
 
@@ -221,7 +221,7 @@
         self.draining.set(false);
     }
 
-    /// Whether clients are being sent away, by a drain or before a stop.
+    /// Whether clients are being sent away, by a drain or before the process ends.
     pub fn is_draining(&self) -> bool {
         self.draining.get() || self.stopping.get()
     }
--- a/crates/net/src/clients/take_in.rs
+++ b/crates/net/src/clients/take_in.rs
@@ -60,7 +60,7 @@
 /// Accepts a request by its headers, or returns the local reply: 404 for an unknown class or path,
 /// 400 for an invalid header value.
 pub fn accept_request(
-    platform: &DeploymentSettings,
+    settings: &DeploymentSettings,
     head: &Head,
     body: Vec<u8>,
 ) -> Result<AcceptedRequest, Reply> {
@@ -70,7 +70,7 @@
     }
     let path = head.line[1].split('?').next().unwrap_or_default();
     let first_segment = path.split('/').nth(1).unwrap_or_default();
-    let class_index = |name: &str| platform.classes.iter().position(|c| c == name);
+    let class_index = |name: &str| settings.classes.iter().position(|c| c == name);
     let Some(class) = class_index(first_segment) else {
         tracing::debug!(method = head.line[0], path, "unknown path");
         return Err(Reply::text(404, "unknown path"));
@@ -81,8 +81,8 @@
         _ => {}
     }
     let tenant = match head.get("x-account") {
-        Some(name) if !platform.tenants.is_empty() => {
-            let Some(tenant) = platform.tenants.iter().position(|t| t == name) else {
+        Some(name) if !settings.tenants.is_empty() => {
+            let Some(tenant) = settings.tenants.iter().position(|t| t == name) else {
                 return bad("unknown account");
             };
             Some(TenantId(tenant as u16))
@@ -92,7 +92,7 @@
     let Some(id) = head.get("x-correlation-id").filter(|id| !id.is_empty()) else {
         return bad("no correlation id");
     };
-    let class_settings = &platform.balancer.classes[class];
+    let class_settings = &settings.balancer.classes[class];
     let (method, needs_key) = match class_settings.effect {
         Effect::Safe => ("GET", false),
         Effect::Keyed { .. } => ("POST", true),
@@ -113,7 +113,7 @@
         None => class_settings.client_timeout,
     };
     let outgoing = OutgoingRequest { head: forwarded_head(head, body.len()), body };
-    let class_name = platform.classes[class].clone();
+    let class_name = settings.classes[class].clone();
     Ok(AcceptedRequest {
         class: ClassId(class as u16),
         class_name,
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -53,7 +53,7 @@
     /// The sidecar that receives the lists and the outcomes of polls.
     pub sidecar: Rc<Sidecar>,
     /// The endpoint connections; idle ones to endpoints that take no new work are closed.
-    pub servers: Rc<EndpointConnections>,
+    pub endpoint_connections: Rc<EndpointConnections>,
     /// The current address of discovery.
     pub discovery: DiscoveryAddress,
     /// Maps the list's names of zones and machine kinds to indices.
@@ -279,7 +279,7 @@
         }
         let started_at = self.sidecar.clock().now() - took;
         self.sidecar.apply_answer(kind, &entries, started_at);
-        self.servers.retain_idle(|endpoint| self.sidecar.takes_work(endpoint));
+        self.endpoint_connections.retain_idle(|endpoint| self.sidecar.takes_work(endpoint));
     }
 
     /// Switches to another discovery address. Discovery is one service (the protocol
@@ -339,7 +339,7 @@
         );
         self.generation = Some(generation);
         self.sidecar.apply_list(kind, &entries);
-        self.servers.retain_idle(|endpoint| self.sidecar.takes_work(endpoint));
+        self.endpoint_connections.retain_idle(|endpoint| self.sidecar.takes_work(endpoint));
     }
 
     /// Parses an answer into the core's types. An empty list that would replace a list with
--- a/crates/net/src/list/schedule.rs
+++ b/crates/net/src/list/schedule.rs
@@ -107,7 +107,7 @@
 const MAX_BACKOFF: Duration = Duration::from_millis(UPDATE_DEADLINE.as_millis() as u64 / 3);
 /// The number of doublings from the initial to the longest backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 2;
-/// The delay after a call that failed in this process or on the path, with jitter up to twice that:
+/// The delay after a poll that failed in this process or on the path, with jitter up to twice that:
 /// a resource that ran out is soon available again.
 const LOCAL_FAULT_BACKOFF: Duration = Duration::from_millis(50);
 /// The first delay after a broken watch is spread over no less than this, whatever is left of the
@@ -324,7 +324,7 @@
     }
 }
 
-/// The delay after a call that failed in this process, or on the path, for a moment.
+/// The delay after a poll that failed in this process, or on the path, for a moment.
 pub(super) fn local_fault_backoff(jitter: f64) -> Duration {
     LOCAL_FAULT_BACKOFF.mul_f64(1.0 + jitter)
 }
--- a/crates/net/src/servers/mod.rs
+++ b/crates/net/src/servers/mod.rs
@@ -205,9 +205,9 @@
                 Timer::after(idle_timeout).await;
             };
             future::or(closed, expired).await;
-            let Some(servers) = weak_self.upgrade() else { return };
+            let Some(connections) = weak_self.upgrade() else { return };
             let removed = {
-                let mut pools = servers.idle.borrow_mut();
+                let mut pools = connections.idle.borrow_mut();
                 let pool = pools.get_mut(&endpoint);
                 pool.and_then(|pool| pool.iter().position(|idle| idle.id == id).map(|at| pool.remove(at)))
             };
--- a/crates/program/src/bin/cottonpoint-adapter/main.rs
+++ b/crates/program/src/bin/cottonpoint-adapter/main.rs
@@ -43,10 +43,11 @@
                 Record::Other => continue,
                 Record::NewInstance(seed, text) => {
                     let instance = selected.ok_or_else(|| Malformed("no instance named".into()))?;
-                    let platform = settings::from_flat_text(text).map_err(|e| Malformed(e.to_string()))?;
-                    let fields = platform.fields;
+                    let deployment =
+                        settings::from_flat_text(text).map_err(|e| Malformed(e.to_string()))?;
+                    let fields = deployment.fields;
                     let created =
-                        catch_panic(&mut reply, instance, || Balancer::new(platform.balancer, seed, now));
+                        catch_panic(&mut reply, instance, || Balancer::new(deployment.balancer, seed, now));
                     if let Some(balancer) = created {
                         self.instances.insert(instance, (balancer, fields));
                     }
--- a/crates/program/src/metrics.rs
+++ b/crates/program/src/metrics.rs
@@ -43,7 +43,7 @@
     /// Client connections.
     pub clients: Rc<Clients>,
     /// Connections to endpoints.
-    pub servers: Rc<EndpointConnections>,
+    pub endpoint_connections: Rc<EndpointConnections>,
     /// The fleet membership, if it is on.
     pub fleet: Option<Rc<Membership>>,
 }
@@ -112,7 +112,11 @@
         }
         registry.register("list_lease_seconds", "Time for which the list may still be used", seconds(left));
         registry.register("client_connections", "Open client connections", gauge(self.clients.open()));
-        registry.register("target_connections", "Open connections to targets", gauge(self.servers.open()));
+        registry.register(
+            "target_connections",
+            "Open connections to targets",
+            gauge(self.endpoint_connections.open()),
+        );
         registry.register("targets", "Targets that take work", gauge(self.sidecar.available_endpoints()));
         if let Some(fleet) = self.fleet.as_ref().and_then(|fleet| fleet.handle()) {
             let [members, datagrams] = fleet::metric_values(fleet);
--- a/crates/program/src/serve.rs
+++ b/crates/program/src/serve.rs
@@ -108,13 +108,13 @@
     mut control_events: impl Stream<Item = ControlEvent> + Unpin + 'static,
     executor: Executor,
 ) -> io::Result<()> {
-    let platform = config.platform.clone();
-    let names = NameTable { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
+    let settings = config.platform.clone();
+    let names = NameTable { zones: settings.zones.clone(), kinds: settings.kinds.clone() };
     let clock = Clock::start();
     let (sidecar, list_requests) =
-        Sidecar::new(platform.balancer.clone(), config.seed, clock, executor.clone());
-    sidecar.set_drain_grace(platform.drain_grace);
-    let servers = EndpointConnections::new(pool_settings(&config), executor.clone());
+        Sidecar::new(settings.balancer.clone(), config.seed, clock, executor.clone());
+    sidecar.set_drain_grace(settings.drain_grace);
+    let endpoint_connections = EndpointConnections::new(pool_settings(&config), executor.clone());
     // The balancer sets its first timer with its first event, so it is given an empty list too.
     let known = config.known.as_ref().and_then(|k| k.listed(&names).ok());
     let (kind, listed) = known.unwrap_or((ListKind::Full, Vec::new()));
@@ -123,7 +123,7 @@
     let (address_updates, discovery_changes) = async_channel::unbounded();
     let watcher = Watcher {
         sidecar: sidecar.clone(),
-        servers: servers.clone(),
+        endpoint_connections: endpoint_connections.clone(),
         discovery: discovery_address(&config),
         names,
         generation,
@@ -133,8 +133,8 @@
     executor.spawn(watcher.run(list_requests)).detach();
     let clients = Clients::new(
         sidecar.clone(),
-        servers.clone(),
-        platform,
+        endpoint_connections.clone(),
+        settings,
         executor.clone(),
         connection_limits(&config).0,
     );
@@ -177,8 +177,12 @@
         fleet.clone().map(|fleet| executor.spawn(async move { fleet.join_when_address_is_free().await }));
     let core = sidecar.clone();
     let classes = console.classes.clone();
-    let metrics_server =
-        MetricsServer { sidecar, clients: clients.clone(), servers: servers.clone(), fleet: fleet.clone() };
+    let metrics_server = MetricsServer {
+        sidecar,
+        clients: clients.clone(),
+        endpoint_connections: endpoint_connections.clone(),
+        fleet: fleet.clone(),
+    };
     let _metrics_task = metrics.map(|listener| executor.spawn(metrics_server.serve(listener)));
 
     let (stop_sender, stop_receiver) = async_channel::bounded::<()>(1);
@@ -202,7 +206,7 @@
                         let _ = address_updates.try_send(discovery_address(&config));
                     }
                     reconfigured_clients.set_max_connections(connection_limits(&config).0);
-                    servers.set_pool_settings(pool_settings(&config));
+                    endpoint_connections.set_pool_settings(pool_settings(&config));
                     tracing::info!("{}", current.apply(*config));
                 }
                 ControlEvent::Reload(Err(fault)) => {
@@ -218,15 +222,15 @@
     stopping.set(true);
     fleet.iter().for_each(|fleet| fleet.send_command(Command::Leave));
 
-    let stop = clients.stop();
+    let shutdown = clients.stop();
     let is_superseded = || pid_file.as_ref().is_some_and(|pid_file| pid_file.is_superseded());
     let now = || clock.now();
     // There may be no other process for this one's clients: it keeps serving as long as it may.
     while !is_superseded()
-        && !stop.is_complete(now(), clients.open())
-        && now() < stop.closes_connections_at()
+        && !shutdown.is_complete(now(), clients.open())
+        && now() < shutdown.closes_connections_at()
     {
-        let next_check = stop.closes_connections_at().min(now() + STATE_CHECK_INTERVAL);
+        let next_check = shutdown.closes_connections_at().min(now() + STATE_CHECK_INTERVAL);
         connection_closed_or(&clients, Timer::at(clock.instant(next_check))).await;
     }
     clients.close_after_next_response();
@@ -237,7 +241,7 @@
         Timer::after(IDLE_CLOSE_DELAY).await;
     }
     let all_connections_closed = async || {
-        while !stop.is_complete(now(), clients.open()) {
+        while !shutdown.is_complete(now(), clients.open()) {
             clients.close_idle();
             connection_closed_or(&clients, Timer::after(IDLE_CHECK_INTERVAL)).await;
         }
@@ -250,7 +254,7 @@
     all_connections_closed().await;
     // An acknowledged command to disable an endpoint has to hold after the next start. A hung disk
     // is waited for until SIGKILL may come, and no longer.
-    let kill_timer = Timer::at(clock.instant(stop.kill_at()));
+    let kill_timer = Timer::at(clock.instant(shutdown.kill_at()));
     future::or(console.disabled.flush(), async {
         kill_timer.await;
         tracing::warn!(
@@ -276,15 +280,15 @@
 
 /// The settings of the pool of connections to endpoints.
 fn pool_settings(config: &Config) -> PoolSettings {
-    let platform = &config.platform;
+    let settings = &config.platform;
     PoolSettings {
-        connect_timeout: platform.connect_timeout,
+        connect_timeout: settings.connect_timeout,
         // Connections are closed well before the endpoint closes them, which could happen during a
         // request.
-        idle_timeout: platform.conn_idle.mul_f64(0.7),
+        idle_timeout: settings.conn_idle.mul_f64(0.7),
         max_connections: connection_limits(config).1,
-        fields: platform.fields.clone(),
-        field_names: platform.field_names.clone(),
+        fields: settings.fields.clone(),
+        field_names: settings.field_names.clone(),
     }
 }
 
--- a/crates/program/tests/sidecar/embedded.rs
+++ b/crates/program/tests/sidecar/embedded.rs
@@ -14,7 +14,7 @@
 pub struct Embedded {
     pub executor: Executor,
     pub sidecar: Rc<Sidecar>,
-    pub servers: Rc<EndpointConnections>,
+    pub endpoint_connections: Rc<EndpointConnections>,
     names: NameTable,
 }
 
@@ -22,25 +22,25 @@
     /// Creates a sidecar with these endpoints and a maximum number of connections to them, with a
     /// time limit for each connect.
     pub fn new(endpoints: &[String], max_connections: usize, connect_timeout: Duration) -> Embedded {
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
-        let text = config_json(nowhere, &list_json(1, true, endpoints), 1024);
+        let unused_address = SocketAddr::from(([127, 0, 0, 1], 9));
+        let text = config_json(unused_address, &list_json(1, true, endpoints), 1024);
         let config = Config::parse(&text, |_| None).expect("a good configuration");
-        let platform = config.platform;
+        let settings = config.platform;
         let executor: Executor = Rc::new(LocalExecutor::new());
-        let (sidecar, _) = Sidecar::new(platform.balancer, 1, Clock::start(), executor.clone());
-        let terms = PoolSettings {
+        let (sidecar, _) = Sidecar::new(settings.balancer, 1, Clock::start(), executor.clone());
+        let pool_settings = PoolSettings {
             connect_timeout,
-            idle_timeout: platform.conn_idle,
+            idle_timeout: settings.conn_idle,
             max_connections,
-            fields: platform.fields,
-            field_names: platform.field_names,
+            fields: settings.fields,
+            field_names: settings.field_names,
         };
-        let servers = EndpointConnections::new(terms, executor.clone());
-        let names = NameTable { zones: platform.zones, kinds: platform.kinds };
+        let endpoint_connections = EndpointConnections::new(pool_settings, executor.clone());
+        let names = NameTable { zones: settings.zones, kinds: settings.kinds };
         let known = config.known.expect("a list");
         let (kind, listed) = known.listed(&names).expect("a good list");
         sidecar.apply_list(kind, &listed);
-        Embedded { executor, sidecar, servers, names }
+        Embedded { executor, sidecar, endpoint_connections, names }
     }
 
     /// Follows discovery at this address, from the first version on. Later addresses of discovery
@@ -50,7 +50,7 @@
         let (subscribe, subscribed) = async_channel::bounded(1);
         let watcher = Watcher {
             sidecar: self.sidecar.clone(),
-            servers: self.servers.clone(),
+            endpoint_connections: self.endpoint_connections.clone(),
             discovery: DiscoveryAddress { address: discovery, pushed: false },
             names: self.names.clone(),
             generation: Some(1),
--- a/crates/program/tests/sidecar/lifecycle.rs
+++ b/crates/program/tests/sidecar/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life cycle of a process: ready once it has a list, and the stop.
+//! The life cycle of a process: ready once it has a list, and the shutdown.
 
 use crate::harness::*;
 use crate::program::create_pipe;
@@ -8,7 +8,7 @@
 
 /// Guards against a sidecar that starts without a list and never requests one (the balancer's first
 /// timer was set only with its first event), readiness before the list is there, and answers lost
-/// in a planned stop.
+/// in a planned shutdown.
 #[test]
 fn sidecar_is_ready_from_first_list_until_stop() {
     let (endpoint, discovery) = (ScriptedServer::new(), ScriptedServer::new());
--- a/crates/program/tests/sidecar/local_faults.rs
+++ b/crates/program/tests/sidecar/local_faults.rs
@@ -26,13 +26,16 @@
     attempt_timeout: Duration,
 ) -> Outcome {
     let embedded = Embedded::new(&[instance_json("t0", endpoint, "active")], connections, connect_timeout);
-    let due = embedded.sidecar.clock().now() + ms(3000);
-    let flow = embedded.sidecar.admit(NewRequest { class: ClassId(0), tenant: None, deadline: due });
+    let deadline = embedded.sidecar.clock().now() + ms(3000);
+    let request = embedded.sidecar.admit(NewRequest { class: ClassId(0), tenant: None, deadline });
     let message = OutgoingRequest { head: "GET /look HTTP/1.1\r\n".to_owned(), body: Vec::new() };
     embedded.run(async {
-        let Decision::Attempt(attempt) = flow.next_decision().await else { panic!("no attempt is made") };
+        let Decision::Attempt(attempt) = request.next_decision().await else {
+            panic!("no attempt is made")
+        };
         let until = Instant::now() + attempt_timeout;
-        let (outcome, ..) = embedded.servers.send(&attempt, until, &message, || true, || ()).await;
+        let (outcome, ..) =
+            embedded.endpoint_connections.send(&attempt, until, &message, || true, || ()).await;
         attempt.complete(outcome, None);
         outcome
     })
@@ -40,7 +43,7 @@
 
 /// Guards against blaming the endpoint if this process has no free connection.
 #[test]
-fn attempt_without_free_connection_is_moot() {
+fn attempt_without_free_connection_is_reported_as_not_sent() {
     let endpoint = ScriptedServer::new();
     assert_eq!(outcome(endpoint.address, 0, ms(500), ms(1000)), Outcome::NotSent);
 }
@@ -48,7 +51,7 @@
 /// Guards against blaming the endpoint for a connection that the attempt's own time was too short
 /// for.
 #[test]
-fn attempt_that_ends_before_its_connect_timeout_is_moot() {
+fn attempt_that_ends_before_its_connect_timeout_is_reported_as_not_sent() {
     let (_listener, address) = constrained_listener();
     let _fillers = [(), ()].map(|()| TcpStream::connect_timeout(&address, ms(200)));
     assert_eq!(outcome(address, 8, ms(500), ms(30)), Outcome::NotSent);
@@ -61,7 +64,7 @@
     let (_listener, full) = constrained_listener();
     let _fillers = [(), ()].map(|()| TcpStream::connect_timeout(&full, ms(200)));
     assert_eq!(outcome(full, 8, ms(50), ms(1000)), Outcome::ConnectFailed);
-    let (listener, gone) = listen();
+    let (listener, closed_address) = listen();
     drop(listener);
-    assert_eq!(outcome(gone, 8, ms(500), ms(1000)), Outcome::ConnectFailed);
+    assert_eq!(outcome(closed_address, 8, ms(500), ms(1000)), Outcome::ConnectFailed);
 }
