--- a/crates/lab/src/soak/oracle.rs
+++ b/crates/lab/src/soak/oracle.rs
@@ -3,11 +3,13 @@
 //! Each time limit includes the slack of the protocol specification and that of the stand-ins,
 //! which may be late themselves.
 
+pub use invariant::{Invariant, Violation};
+
 use super::records::*;
 use std::collections::{BTreeMap, HashMap};
-use std::fmt;
 use std::time::Duration;
 
+mod invariant;
 mod notification;
 #[cfg(test)]
 mod tests;
@@ -57,74 +59,6 @@
 /// may have been sent first: one thread reads for all stand-ins.
 const ORDER_UNCERTAINTY: Duration = ms(5);
 
-/// A rule of the protocol specification, as a soak checks it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Invariant {
-    /// Each request gets one final answer before its deadline.
-    Answered,
-    /// A served answer is one that an endpoint made for that request.
-    Genuine,
-    /// A request that may have run is sent again only as its class allows.
-    NotRepeated,
-    /// A request has at most one attempt at a time.
-    OneAttempt,
-    /// No new attempts go to a draining or removed endpoint after the grace period.
-    Drain,
-    /// No new attempts are made for a client that has disconnected.
-    ClientGone,
-    /// The time left that an attempt states is no more than its client has left.
-    TimeLeft,
-    /// No cold endpoint is overloaded by all processes together.
-    SlowStart,
-    /// Bad clients receive an error or a close.
-    BadClients,
-    /// A process that receives SIGTERM exits successfully before SIGKILL.
-    Ends,
-    /// No process panics or crashes.
-    NoPanic,
-    /// The program's own guard has counted no violation.
-    Guard,
-    /// An endpoint taken offline by an operator stays offline, also for the next process in the
-    /// same slot.
-    StaysOut,
-}
-
-impl Invariant {
-    /// All invariants.
-    pub const ALL: [Invariant; 13] = [
-        Invariant::Answered,
-        Invariant::Genuine,
-        Invariant::NotRepeated,
-        Invariant::OneAttempt,
-        Invariant::Drain,
-        Invariant::ClientGone,
-        Invariant::TimeLeft,
-        Invariant::SlowStart,
-        Invariant::BadClients,
-        Invariant::Ends,
-        Invariant::NoPanic,
-        Invariant::Guard,
-        Invariant::StaysOut,
-    ];
-}
-
-/// One violation of an invariant.
-#[derive(Clone, Debug)]
-pub struct Violation {
-    /// The violated invariant.
-    pub invariant: Invariant,
-    /// When it was violated.
-    pub at: Timestamp,
-    /// What was observed.
-    pub description: String,
-}
-
-impl fmt::Display for Violation {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:.3} {:?}: {}", self.at.as_secs_f64(), self.invariant, self.description)
-    }
-}
-
 /// All violations, ordered by time.
 pub fn check(records: &Records) -> Vec<Violation> {
     let oracle = Oracle::new(records);
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -12,6 +12,7 @@
 mod delayed_view;
 pub mod endpoint;
 mod fleet;
+mod keys;
 mod lifecycle;
 mod listing;
 mod result;
@@ -23,6 +24,7 @@
 use calendar::{Answer, EventCalendar, SimEvent};
 pub use delayed_view::EndpointView;
 pub use fleet::weighted_index;
+pub use keys::{ClientKey, JobKey, RequestKey};
 pub use result::RunResult;
 pub use rules::{Breach, Rule, tolerated_requests};
 
@@ -37,19 +39,10 @@
 use endpoint::{EmulatedEndpoint, Nanos};
 use rules::Rules;
 use rustc_hash::FxHashMap;
-use slotmap::{Key, KeyData, SlotMap, new_key_type};
+use slotmap::{Key, KeyData, SlotMap};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-new_key_type! {
-    /// Identifies a request at a sidecar.
-    pub struct RequestKey;
-    /// Identifies a request at an endpoint.
-    pub struct JobKey;
-    /// Identifies a client with all its tries.
-    pub struct ClientKey;
-}
-
 /// Reading of the deciders' clock at the start of a run, large enough that every earlier start time
 /// is positive.
 const DECIDER_CLOCK_START_NS: u64 = 1 << 50;
